--- a/features/steps/gateway_broker_steps.py
+++ b/features/steps/gateway_broker_steps.py
@@ -192,7 +192,7 @@
                 task.cancel()
         for each in list(world.acting().broker._reservations.values()):
             if each.server is not None:
-                world.acting().broker.take_release(
+                world.acting().broker.handle_release(
                     gateway.address.boot, SlotRelease(each.reply.number)
                 )
 
@@ -220,7 +220,7 @@
     async def act():
         broker = world.acting().broker
         for number in range(count):
-            broker._queue_of(ZONE).unreached.note("s0", f"b{number}")
+            broker._queue_of(ZONE).unreachable.record_failure("s0", f"b{number}")
 
     run(context, act())
 
--- a/features/steps/gateway_broker_world.py
+++ b/features/steps/gateway_broker_world.py
@@ -7,11 +7,11 @@
 
 from gateway_world import make_rate_budget, make_record
 
-from indigoworks.broker.asker import Asker
-from indigoworks.broker.broker_choice import BrokerChoice
 from indigoworks.broker.broker_client import BrokerClient
 from indigoworks.broker.broker_queue import BrokerQueue
+from indigoworks.broker.broker_selector import BrokerSelector
 from indigoworks.broker.brokered_queue import BrokeredQueue
+from indigoworks.broker.requester import Requester
 from indigoworks.broker.slot_broker import SlotBroker
 from indigoworks.broker.slot_request import SlotRequest
 from indigoworks.common.address import Address
@@ -100,7 +100,7 @@
 
         self.broker = SlotBroker(make_queue, clock)
         self.client = BrokerClient(self.send, clock)
-        self.choice = BrokerChoice(
+        self.choice = BrokerSelector(
             address, lambda: not self.broker.is_stopping, directory, heard, clock
         )
         owners = OwnerLookup(tables, servers, self.board, clock)
@@ -121,12 +121,14 @@
 
     def take(self, sender, content):
         if isinstance(content, SlotRequest):
-            asker = Asker(sender.address.boot, lambda reply: self.send(sender.address, reply))
-            self.broker.take_request(asker, content)
+            requester = Requester(
+                sender.address.boot, lambda reply: self.send(sender.address, reply)
+            )
+            self.broker.handle_request(requester, content)
         elif hasattr(content, "outcome"):
-            self.client.take_reply(content)
+            self.client.handle_reply(content)
         else:
-            self.broker.take_release(sender.address.boot, content)
+            self.broker.handle_release(sender.address.boot, content)
 
 
 @dataclass
@@ -193,10 +195,10 @@
 
     def acting(self):
         """Return the gateway that living ones ask."""
-        asker = next(
+        requester = next(
             each for each in self.gateways.values() if each.is_up and not each.address.capacity
         )
-        return self.gateways[asker.choice.broker(SERVICE, ZONE).node]
+        return self.gateways[requester.choice.broker(SERVICE, ZONE).node]
 
     async def request(self, gateway, asked, work_s, is_lost=False):
         now_s = self.clock.now()
--- a/features/steps/gateway_changed_route_steps.py
+++ b/features/steps/gateway_changed_route_steps.py
@@ -111,7 +111,7 @@
 
     async def tell():
         newer = configurations.current().version + 1
-        configurations.note_newer(newer, context.gateway.clock.now())
+        configurations.record_newer_version(newer, context.gateway.clock.now())
 
     context.run_async(tell())
 
--- a/features/steps/gateway_cold_server_steps.py
+++ b/features/steps/gateway_cold_server_steps.py
@@ -9,7 +9,7 @@
 from gateway_world import HOST, make_rate_budget, make_record
 from store_versions import at
 
-from indigoworks.broker.broker_choice import BrokerChoice
+from indigoworks.broker.broker_selector import BrokerSelector
 from indigoworks.common.address import Address
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PEER_PREFIX, PeerDirectory
@@ -83,7 +83,7 @@
     directory.apply(peer_rows(members))
     own = PeerAddress(f"n{number}", "b", ZONES[number % len(ZONES)], Address(HOST, 1))
     clock = context.cold_clock
-    choice = BrokerChoice(own, lambda: True, directory, Heard(clock), clock)
+    choice = BrokerSelector(own, lambda: True, directory, Heard(clock), clock)
     broker = choice.broker("shop", context.cold_server.zone)
     return None if broker is None else broker.node
 
--- a/features/steps/gateway_doubt_steps.py
+++ b/features/steps/gateway_doubt_steps.py
@@ -9,8 +9,8 @@
 
 from indigoworks.broker.broker_codec import decode_datagram, encode_datagram
 from indigoworks.broker.broker_datagram import BrokerDatagram
+from indigoworks.broker.doubt_broadcaster import DoubtBroadcaster
 from indigoworks.broker.doubt_notice import DoubtNotice
-from indigoworks.broker.doubt_spread import DoubtSpread
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
 from indigoworks.exchange.peer_address import PeerAddress
@@ -147,7 +147,7 @@
         Row("control", "", PEER_PREFIX + node, encode_peer(addresses[node]), at(number + 1))
         for number, node in enumerate(nodes)
     ]
-    told, sent, spreads = set(), {}, {}
+    told, sent, broadcasters = set(), {}, {}
 
     def make(node):
         directory = PeerDirectory(node)
@@ -157,9 +157,11 @@
             moment = (node, clock.now())
             sent[moment] = sent.get(moment, 0) + 1
             if random.random() >= lost:
-                asyncio.get_running_loop().call_later(HOP_S, spreads[peer.node].take, notice)
+                asyncio.get_running_loop().call_later(
+                    HOP_S, broadcasters[peer.node].handle_notice, notice
+                )
 
-        return DoubtSpread(
+        return DoubtBroadcaster(
             directory,
             PeerTable(clock, node),
             send,
@@ -168,8 +170,8 @@
             Random(node),
         )
 
-    spreads.update({node: make(node) for node in nodes})
-    spreads[nodes[0]].tell(Doubt(1, RequestMark(2, 3)))
+    broadcasters.update({node: make(node) for node in nodes})
+    broadcasters[nodes[0]].broadcast(Doubt(1, RequestMark(2, 3)))
     await asyncio.sleep(0.05)
     return told, sent
 
--- a/features/steps/gateway_idle_steps.py
+++ b/features/steps/gateway_idle_steps.py
@@ -113,7 +113,7 @@
 
     async def hear():
         newer = configurations.current().version + 1
-        configurations.note_newer(newer, context.gateway.clock.now())
+        configurations.record_newer_version(newer, context.gateway.clock.now())
         await ask_first(context)
 
     context.run_async(hear())
--- a/features/steps/router_costs_steps.py
+++ b/features/steps/router_costs_steps.py
@@ -14,8 +14,8 @@
 from indigoworks.common.logging.log_threshold import LOG_THRESHOLD
 from indigoworks.router.caller_request import CallerRequest
 from indigoworks.router.caller_response import CallerResponse
+from indigoworks.router.dispatcher_cache import DispatcherCache
 from indigoworks.router.dispatcher_choice import dispatcher_of
-from indigoworks.router.dispatcher_choices import DispatcherChoices
 from indigoworks.router.metrics import RouterMetrics
 from indigoworks.router.outcome import Outcome
 from indigoworks.router.router_observer import RouterObserver
@@ -48,7 +48,7 @@
         ServerRecord(f"s{number}", "run", "x", f"zone-{number % 4}", Address("10.0.0.2", 1), 2, 100)
         for number in range(8)
     ]
-    choices = DispatcherChoices()
+    choices = DispatcherCache()
     routers: tuple[RouterPeer, ...] = ()
     suspects: frozenset[RouterPeer] = frozenset()
     context.choices = []
@@ -84,7 +84,7 @@
     context.messages = []
     add_destinations(context.messages.append)
     try:
-        observer.answered(request, CallerResponse(200, (), b"", Outcome.COMPLETED), 0.5)
+        observer.record_answer(request, CallerResponse(200, (), b"", Outcome.COMPLETED), 0.5)
     finally:
         remove_destination(context.messages.append)
 
--- a/features/steps/router_dispatch_steps.py
+++ b/features/steps/router_dispatch_steps.py
@@ -10,12 +10,12 @@
 from router_fakes import LOST, SHED, WRONG_OWNER, FakeBackends, server_message
 
 from indigoworks.common.clock import LoopClock
-from indigoworks.router.cold_ramp import ColdRamp
 from indigoworks.router.dispatcher import ServerDispatcher
 from indigoworks.router.dispatcher_ports import DispatcherPorts
 from indigoworks.router.range_loads import RangeLoads
-from indigoworks.router.sent_memory import SentMemory
+from indigoworks.router.sent_requests import SentRequests
 from indigoworks.router.server_record import server_record
+from indigoworks.router.slow_start import SlowStart
 
 FIRST_SEEN_WARM_S = -100.0
 
@@ -29,13 +29,13 @@
             clock,
             backends,
             Random(1),
-            SentMemory(clock),
+            SentRequests(clock),
             lambda: context.bench.is_in_force,
             RangeLoads(clock),
         )
         first_seen_s = FIRST_SEEN_WARM_S if state == "warm" else clock.now()
         server = server_record(server_message("alpha", slots=slots))
-        return Bench(ServerDispatcher(server, ports, ColdRamp(first_seen_s)), backends)
+        return Bench(ServerDispatcher(server, ports, SlowStart(first_seen_s)), backends)
 
     def run(script, seed=None):
         async def main():
--- a/features/steps/router_hop_steps.py
+++ b/features/steps/router_hop_steps.py
@@ -194,7 +194,7 @@
         for wait_s, delay_s in answers:
             reading_s = on_peer(now_s + wait_s)
             now_s += wait_s + delay_s
-            clock.learn(reading_s, now_s)
+            clock.record_reading(reading_s, now_s)
         now_s += pause_s
         deadline_s = clock.deadline(now_s + remaining_s, now_s)
         assert deadline_s <= on_peer(now_s + remaining_s) + 1e-6
--- a/indigoworks/broker/broker_client.py
+++ b/indigoworks/broker/broker_client.py
@@ -10,25 +10,25 @@
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.peer_address import PeerAddress
 
-REPLY_S = 0.05
+REPLY_TIMEOUT_S = 0.05
 """Longest wait for a reply before a request is sent again: gateways are up to 3 ms apart, and a
 broker that takes in a change of 60 servers looks at its socket some 50 ms later."""
 
-TRIES = 2
+MAX_SENDS = 2
 """Sendings of a request without any reply before the broker counts as silent."""
 
-ASK_AGAIN_S = 0.25
+QUEUED_RESEND_S = 0.25
 """A request that waits is sent again so often: lost replies, and brokers that ended, show by it.
 Each 0.1 s a third of all requests that a broker read were such repeats (profile of 24 s)."""
 
-RELEASED_AGAIN_S = (0.02, 0.04)
+RELEASE_RESEND_PAUSES_S = (0.02, 0.04)
 """Pauses before a release that others wait for is sent once more, and once more."""
 
 Send = Callable[[PeerAddress, SlotRequest | SlotRelease], None]
 
 
 @dataclass(eq=False)
-class _OpenRequest:
+class _PendingRequest:
     reply: SlotReply | None = None
     arrived: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -42,7 +42,7 @@
     def __init__(self, send: Send, clock: Clock) -> None:
         self._send = send
         self._clock = clock
-        self._open: dict[int, _OpenRequest] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -56,14 +56,14 @@
 
         Cancelling withdraws the request.
         """
-        opened = self._open[request.number] = _OpenRequest()
+        opened = self._pending[request.number] = _PendingRequest()
         is_final = False
         try:
             reply = await self._final_reply(broker, request, opened)
             is_final = reply is not None
             return reply
         finally:
-            del self._open[request.number]
+            del self._pending[request.number]
             if not is_final:
                 self._send(broker, SlotRelease(request.number))
 
@@ -74,7 +74,7 @@
     def release_repeatedly(self, broker: PeerAddress, release: SlotRelease) -> None:
         """Give back what others wait for, and say it again: nobody answers a release."""
         self._send(broker, release)
-        task = asyncio.ensure_future(self._release_again(broker, release))
+        task = asyncio.ensure_future(self._resend_release(broker, release))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -83,36 +83,36 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _release_again(self, broker: PeerAddress, release: SlotRelease) -> None:
-        for pause_s in RELEASED_AGAIN_S:
+    async def _resend_release(self, broker: PeerAddress, release: SlotRelease) -> None:
+        for pause_s in RELEASE_RESEND_PAUSES_S:
             await self._clock.sleep(pause_s)
             self._send(broker, release)
 
-    def take_reply(self, reply: SlotReply) -> None:
+    def handle_reply(self, reply: SlotReply) -> None:
         """Take a reply; one that nobody waits for any more is passed over."""
-        opened = self._open.get(reply.number)
+        opened = self._pending.get(reply.number)
         if opened is not None:
             opened.reply = reply
             opened.arrived.set()
 
     async def _final_reply(
-        self, broker: PeerAddress, request: SlotRequest, opened: _OpenRequest
+        self, broker: PeerAddress, request: SlotRequest, opened: _PendingRequest
     ) -> SlotReply | None:
         unanswered = 0
-        while unanswered < TRIES:
+        while unanswered < MAX_SENDS:
             self._send(broker, request)
-            reply = await self._next_reply(opened, REPLY_S)
+            reply = await self._next_reply(opened, REPLY_TIMEOUT_S)
             if reply is None:
                 unanswered += 1
                 continue
             unanswered = 0
             if reply.outcome is SlotOutcome.QUEUED:
-                reply = await self._next_reply(opened, ASK_AGAIN_S)
+                reply = await self._next_reply(opened, QUEUED_RESEND_S)
             if reply is not None and reply.outcome is not SlotOutcome.QUEUED:
                 return reply
         return None
 
-    async def _next_reply(self, opened: _OpenRequest, wait_s: float) -> SlotReply | None:
+    async def _next_reply(self, opened: _PendingRequest, wait_s: float) -> SlotReply | None:
         """Return the newest reply since the last call; None: none came in time."""
         if not opened.arrived.is_set():
             try:
--- a/indigoworks/broker/broker_codec.py
+++ b/indigoworks/broker/broker_codec.py
@@ -24,7 +24,7 @@
     SlotOutcome.REFUSED: pb.SLOT_OUTCOME_REFUSED,
     SlotOutcome.DECLINED: pb.SLOT_OUTCOME_DECLINED,
 }
-_OUTCOMES_BACK = {message: outcome for outcome, message in _OUTCOMES.items()}
+_OUTCOMES_BY_MESSAGE = {message: outcome for outcome, message in _OUTCOMES.items()}
 
 
 def encode_datagram(datagram: BrokerDatagram) -> bytes:
@@ -118,7 +118,7 @@
 
 
 def _decode_reply(message: pb.SlotReplyMessage) -> SlotReply | None:
-    outcome = _OUTCOMES_BACK.get(message.outcome)
+    outcome = _OUTCOMES_BY_MESSAGE.get(message.outcome)
     if outcome is None:
         return None
     refusal = _decode_refusal(message.refusal) if message.HasField("refusal") else None
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -6,7 +6,7 @@
 from indigoworks.broker.reported_load import ReportedLoad
 from indigoworks.broker.slot_release import SlotRelease
 from indigoworks.broker.slot_request import SlotRequest
-from indigoworks.broker.unreached_servers import UnreachedServers
+from indigoworks.broker.unreachable_servers import UnreachableServers
 from indigoworks.broker.zone_servers import ZoneServers
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.load_view import LoadView
@@ -21,7 +21,7 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
-ROOM_BEYOND_SLOTS = 0
+EXTRA_REQUESTS_PER_SERVER = 0
 """Requests that a server may have beyond its slots: what waits, waits here, where it can still go
 to whichever server is free first, and in the order of urgency over all gateways."""
 
@@ -47,9 +47,9 @@
     ) -> None:
         self._servers = servers
         self._rates = rate_budget
-        self.load = ReportedLoad(reported, peers, self._given, clock)
+        self.load = ReportedLoad(reported, peers, self._granted, clock)
         self.board = ServerStats(self.load, clock)
-        self.unreached = UnreachedServers(self.board, clock)
+        self.unreachable = UnreachableServers(self.board, clock)
         self._zone_servers = ZoneServers(zone, servers, clock)
         self._choice = ServerSelector(self._zone_servers, self.board, rate_budget, zone, random)
         self._room = CapacityTracker(self.board, rate_budget, _limit)
@@ -71,16 +71,16 @@
             return False
         return not self.queue.expectation.turn_kept_for_s((request.service, None), usable)
 
-    def take_release(self, server: ServerRecord, teller: str, release: SlotRelease) -> None:
+    def apply_release(self, server: ServerRecord, reporter: str, release: SlotRelease) -> None:
         """Take what came of a request at a server.
 
         :param teller: boot of the gateway that sent it.
         """
         if release.word is not None:
             self.board.note_word(server.server_id, release.word)
-            self.load.note_word(server.server_id, release.word)
+            self.load.record_server_load(server.server_id, release.word)
         if release.is_unreached:
-            self.unreached.note(server.server_id, teller)
+            self.unreachable.record_failure(server.server_id, reporter)
 
     def wait_s(self, request: SlotRequest) -> float:
         """Return the seconds until a slot is likely to be free for one more request."""
@@ -95,22 +95,22 @@
 
     def servers_changed(self) -> None:
         """Look at all that waits."""
-        self._zone_servers.forget_usable()
+        self._zone_servers.clear_cache()
         self.queue.capacity_changed()
 
-    def tidy(self) -> None:
+    def refresh(self) -> None:
         """Use servers again that have rested; forget those that left."""
         self.load.refresh()
-        self.unreached.release_rested()
+        self.unreachable.restore_rested()
         for server_id in self.board.known_servers():
             if self._servers.get(server_id) is None:
                 self.board.forget(server_id)
                 self.load.forget(server_id)
                 self._rates.forget(server_id)
 
-    def _given(self, server_id: str) -> int:
+    def _granted(self, server_id: str) -> int:
         return self.board.own_in_flight_at(server_id)
 
 
 def _limit(server: ServerRecord) -> int:
-    return server.slots + ROOM_BEYOND_SLOTS
+    return server.slots + EXTRA_REQUESTS_PER_SERVER
--- a/indigoworks/broker/broker_side.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -3,14 +3,14 @@
 from dataclasses import replace
 from random import Random
 
-from indigoworks.broker.asker import Asker
-from indigoworks.broker.broker_choice import BrokerChoice
 from indigoworks.broker.broker_client import BrokerClient
 from indigoworks.broker.broker_codec import decode_datagram, encode_datagram
 from indigoworks.broker.broker_datagram import BrokerDatagram, BrokerMessage
 from indigoworks.broker.broker_queue import BrokerQueue
+from indigoworks.broker.broker_selector import BrokerSelector
+from indigoworks.broker.doubt_broadcaster import DoubtBroadcaster
 from indigoworks.broker.doubt_notice import DoubtNotice
-from indigoworks.broker.doubt_spread import DoubtSpread
+from indigoworks.broker.requester import Requester
 from indigoworks.broker.slot_broker import SlotBroker
 from indigoworks.broker.slot_release import SlotRelease
 from indigoworks.broker.slot_reply import SlotReply
@@ -33,7 +33,7 @@
 one port for both."""
 
 
-class BrokerSide:
+class BrokerSubsystem:
     """Builds broker, client and the socket between them.
 
     :param own: address of this process as peers know it.
@@ -66,15 +66,15 @@
         self._clock = clock
         self._random = random
         self._cuts = cuts
-        self._port = open_datagrams(_broker_address(own.address), self._take)
+        self._port = open_datagrams(_broker_address(own.address), self._handle_datagram)
         self.broker = SlotBroker(self._make_queue, clock)
         self.client = BrokerClient(self._send_to, clock)
-        self.choice = BrokerChoice(
+        self.choice = BrokerSelector(
             own, lambda: not self.broker.is_stopping, directory, peers, clock
         )
-        self._doubts = DoubtSpread(directory, peers, self._send_to, doubts.take, clock, random)
-        doubts.on_doubt = self._doubts.tell
-        self._self_asker = Asker(own.boot, self._take_own_reply)
+        self._doubts = DoubtBroadcaster(directory, peers, self._send_to, doubts.take, clock, random)
+        doubts.on_doubt = self._doubts.broadcast
+        self._local_requester = Requester(own.boot, self._handle_local_reply)
 
     async def open(self) -> None:
         """Bind the socket.
@@ -114,7 +114,7 @@
 
     def _send_to(self, peer: PeerAddress, content: SlotRequest | SlotRelease | DoubtNotice) -> None:
         if peer.node == self._own.node:
-            self._take_content(self._self_asker, content)
+            self._handle_message(self._local_requester, content)
         else:
             self._send(_broker_address(peer.address), content)
 
@@ -122,25 +122,25 @@
         datagram = BrokerDatagram(self._own.node, self._own.boot, content)
         self._port.send(encode_datagram(datagram), address)
 
-    def _take(self, data: bytes, sender: Address) -> None:
+    def _handle_datagram(self, data: bytes, sender: Address) -> None:
         datagram = decode_datagram(data)
         if datagram is None:
             return
-        asker = Asker(datagram.boot, lambda reply: self._send(sender, reply))
-        self._take_content(asker, datagram.content)
+        requester = Requester(datagram.boot, lambda reply: self._send(sender, reply))
+        self._handle_message(requester, datagram.content)
 
-    def _take_content(self, asker: Asker, content: BrokerMessage) -> None:
+    def _handle_message(self, requester: Requester, content: BrokerMessage) -> None:
         if isinstance(content, SlotRequest):
-            self.broker.take_request(asker, content)
+            self.broker.handle_request(requester, content)
         elif isinstance(content, SlotReply):
-            self.client.take_reply(content)
+            self.client.handle_reply(content)
         elif isinstance(content, DoubtNotice):
-            self._doubts.take(content)
+            self._doubts.handle_notice(content)
         else:
-            self.broker.take_release(asker.boot, content)
+            self.broker.handle_release(requester.boot, content)
 
-    def _take_own_reply(self, reply: SlotReply) -> None:
-        self.client.take_reply(reply)
+    def _handle_local_reply(self, reply: SlotReply) -> None:
+        self.client.handle_reply(reply)
 
 
 def _broker_address(address: Address) -> Address:
--- a/indigoworks/broker/suspect_locks.py
+++ b/indigoworks/broker/brokered_locks.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from indigoworks.broker.broker_choice import BrokerChoice
 from indigoworks.broker.broker_client import BrokerClient
+from indigoworks.broker.broker_selector import BrokerSelector
 from indigoworks.broker.slot_release import SlotRelease
 from indigoworks.broker.slot_reply import SlotOutcome
 from indigoworks.broker.slot_request import SlotRequest
@@ -12,19 +12,19 @@
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 
-BUCKETS = 16
+MAX_BROKERS = 16
 """Suspect requests are shared out among so many brokers at most."""
 
 ANY_ZONE = ""
 """A suspect request may go to servers of any zone."""
 
-NOBODY_BACK_S = 0.5
+NO_BROKER_RETRY_S = 0.5
 """Time after which a caller comes back where nobody has given the lock out: a broker that is lost
 is left within so long."""
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectLock:
+class BrokeredLock:
     """Implements `AttemptLock`."""
 
     client: BrokerClient
@@ -38,17 +38,17 @@
         self.client.release_repeatedly(self.broker, release)
 
 
-class SuspectLocks:
+class BrokeredLocks:
     """Implements `AttemptLocks`: the same broker for all gateways that hear the same ones."""
 
-    def __init__(self, choice: BrokerChoice, client: BrokerClient, clock: Clock) -> None:
+    def __init__(self, choice: BrokerSelector, client: BrokerClient, clock: Clock) -> None:
         self._choice = choice
         self._client = client
         self._clock = clock
 
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
-    ) -> SuspectLock | Refusal | None:
+    ) -> BrokeredLock | Refusal | None:
         """Return the lock of a request, why it is not to be had, or None: this process knows no
         member of the group, itself included.
 
@@ -56,30 +56,32 @@
         the lock would end a server whenever a reply is lost.
         """
         while True:
-            broker = self._choice.broker(f"suspects-{mark % BUCKETS}", ANY_ZONE)
+            broker = self._choice.broker(f"suspects-{mark % MAX_BROKERS}", ANY_ZONE)
             if broker is None:
                 return None
             found = await self._ask(broker, mark, limit_s, lease_s)
             if found is not None:
                 return found
             if self._clock.now() >= limit_s:
-                return Refusal(RefusalReason.SUSPECT, NOBODY_BACK_S, expected_s=NOBODY_BACK_S)
+                return Refusal(
+                    RefusalReason.SUSPECT, NO_BROKER_RETRY_S, expected_s=NO_BROKER_RETRY_S
+                )
 
     async def _ask(
         self, broker: PeerAddress, mark: int, limit_s: float, lease_s: float
-    ) -> SuspectLock | Refusal | None:
+    ) -> BrokeredLock | Refusal | None:
         """Return what a broker replies; None: it does not answer, or is about to end."""
         request = self._request(mark, limit_s, lease_s)
         reply = await self._client.ask(broker, request)
         if reply is None:
-            self._choice.note_silence(broker.node)
+            self._choice.record_unanswered(broker.node)
             return None
-        self._choice.note_reply(broker.node)
+        self._choice.record_reply(broker.node)
         if reply.outcome is SlotOutcome.REFUSED:
             return reply.refusal
         if reply.outcome is SlotOutcome.GRANTED:
-            return SuspectLock(self._client, broker, request.number)
-        self._choice.leave(broker.node)
+            return BrokeredLock(self._client, broker, request.number)
+        self._choice.exclude(broker.node)
         return None
 
     def _request(self, mark: int, limit_s: float, lease_s: float) -> SlotRequest:
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -6,8 +6,8 @@
 import xxhash
 from eliot import log_message
 
-from indigoworks.broker.broker_choice import BrokerChoice
 from indigoworks.broker.broker_client import BrokerClient
+from indigoworks.broker.broker_selector import BrokerSelector
 from indigoworks.broker.slot_release import SlotRelease
 from indigoworks.broker.slot_reply import SlotOutcome, SlotReply
 from indigoworks.broker.slot_request import SlotRequest
@@ -25,17 +25,17 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
-FULL_S = 0.05
+FULL_ZONE_PAUSE_S = 0.05
 """A broker without a free slot is not asked for one again for so long; requests may wait there."""
 
 
-OTHER_ZONE_S = 0.03
+OTHER_ZONE_PENALTY_S = 0.03
 """A request waits in another zone only where a slot is likely to be free so much earlier: bytes
 between zones cost, and what a broker said is up to FULL_S old. An estimate, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Full:
+class _FullZone:
     """A zone had no free slot.
 
     :ivar until_s: clock reading until which it is not asked for one again.
@@ -74,7 +74,7 @@
         self,
         zone: str,
         local: DispatchQueue,
-        choice: BrokerChoice,
+        choice: BrokerSelector,
         client: BrokerClient,
         servers: ServerSource,
         owners: OwnerLookup,
@@ -92,7 +92,7 @@
         self._rates = rates
         self._clock = clock
         self._grants: dict[WaitingRequest, _Grant] = {}
-        self._full: dict[tuple[str, str], _Full] = {}
+        self._full_zones: dict[tuple[str, str], _FullZone] = {}
 
     # ---- the port ----
 
@@ -124,7 +124,7 @@
         """Return what the brokers of these zones say, or this gateway's own queue."""
         placement: Placement | None = None
         if len(zones) > 1:
-            placement = await self._free_slot(entry, zones)
+            placement = await self._find_free_slot(entry, zones)
         if placement is None and zones:
             zone = min(zones, key=lambda each: self._wait_s(entry.service, each))
             placement = await self._ask_in(entry, zone, may_wait=True)
@@ -153,7 +153,9 @@
             return ()
         return (server.zone,) if self._rates.excludes(server) else ()
 
-    async def _free_slot(self, entry: WaitingRequest, zones: Sequence[str]) -> Placement | None:
+    async def _find_free_slot(
+        self, entry: WaitingRequest, zones: Sequence[str]
+    ) -> Placement | None:
         """Return a server with a free slot in any of the zones; None: there is none."""
         # A full zone may have promised its next turn to this caller: then each is asked.
         has_turns = self._rates.excludes_any(self._servers.usable(entry.service))
@@ -166,14 +168,14 @@
         return None
 
     def _is_full(self, service: str, zone: str) -> bool:
-        full = self._full.get((service, zone))
+        full = self._full_zones.get((service, zone))
         return full is not None and self._clock.now() < full.until_s
 
     def _wait_s(self, service: str, zone: str) -> float:
         """Return how long a request is likely to wait in a zone, as its broker said last."""
-        full = self._full.get((service, zone))
+        full = self._full_zones.get((service, zone))
         wait_s = 0.0 if full is None else full.wait_s
-        return wait_s if zone == self._zone else wait_s + OTHER_ZONE_S
+        return wait_s if zone == self._zone else wait_s + OTHER_ZONE_PENALTY_S
 
     async def _ask_in(self, entry: WaitingRequest, zone: str, may_wait: bool) -> Placement | None:
         """Return what the broker of a zone says; None: no slot there, or no broker answers."""
@@ -182,16 +184,16 @@
         if broker is None or request is None:
             return None
         reply = await self._client.ask(broker, request)
-        self._note(broker, entry, reply)
+        self._record_reply(broker, entry, reply)
         if reply is None:
             return None
         if reply.outcome is SlotOutcome.REFUSED:
             return reply.refusal
         if reply.outcome is SlotOutcome.FULL:
-            until_s = self._clock.now() + FULL_S
-            self._full[entry.service, zone] = _Full(until_s, reply.wait_s)
+            until_s = self._clock.now() + FULL_ZONE_PAUSE_S
+            self._full_zones[entry.service, zone] = _FullZone(until_s, reply.wait_s)
         if reply.outcome is SlotOutcome.GRANTED:
-            return self._take(entry, _Grant(broker, request.number), reply.server_id)
+            return self._accept_slot(entry, _Grant(broker, request.number), reply.server_id)
         return None
 
     def _request(self, entry: WaitingRequest, zone: str, may_wait: bool) -> SlotRequest | None:
@@ -209,7 +211,7 @@
             limit_s=entry.limit_s - now_s,
             lease_s=entry.deadline_s - now_s,
             may_wait=may_wait,
-            tried=(*entry.tried, *self._resting(entry)),
+            tried=(*entry.tried, *self._resting_servers(entry)),
             key=entry.key,
             caller_mark=self._caller_mark(entry),
         )
@@ -223,7 +225,7 @@
         parts = (content.caller, content.method, content.host, content.target)
         return xxhash.xxh64_intdigest("\0".join(parts).encode("utf-8", "surrogateescape"))
 
-    def _resting(self, entry: WaitingRequest) -> Sequence[str]:
+    def _resting_servers(self, entry: WaitingRequest) -> Sequence[str]:
         """Return the servers that this gateway must send nothing for a while: the broker was not
         told, and has others send there."""
         if not self._servers.has_resting():
@@ -231,16 +233,18 @@
         usable = self._servers.usable(entry.service)
         return [each.server_id for each in usable if self._servers.rest_left_s(each.server_id)]
 
-    def _take(self, entry: WaitingRequest, grant: _Grant, server_id: str) -> Placement | None:
+    def _accept_slot(
+        self, entry: WaitingRequest, grant: _Grant, server_id: str
+    ) -> Placement | None:
         """Take a slot, unless this gateway knows that its server must get no new work."""
         server = self._servers.get(server_id)
-        if server is None or not self._may_take(entry, server):
+        if server is None or not self._may_accept(entry, server):
             self._client.release(grant.broker, SlotRelease(grant.number))
             return None
         self._grants[entry] = grant
         return server
 
-    def _may_take(self, entry: WaitingRequest, server: ServerRecord) -> bool:
+    def _may_accept(self, entry: WaitingRequest, server: ServerRecord) -> bool:
         if self._servers.rest_left_s(server.server_id) > 0:
             return False
         if entry.key is None:
@@ -248,14 +252,16 @@
         owner = self._owners.find(entry.service, entry.key)
         return owner.state is OwnerState.READY and owner.server == server
 
-    def _note(self, broker: PeerAddress, entry: WaitingRequest, reply: SlotReply | None) -> None:
+    def _record_reply(
+        self, broker: PeerAddress, entry: WaitingRequest, reply: SlotReply | None
+    ) -> None:
         if reply is None:
-            is_left = self._choice.note_silence(broker.node)
+            is_left = self._choice.record_unanswered(broker.node)
         elif reply.outcome is SlotOutcome.DECLINED:
-            self._choice.leave(broker.node)
+            self._choice.exclude(broker.node)
             is_left = True
         else:
-            self._choice.note_reply(broker.node)
+            self._choice.record_reply(broker.node)
             return
         log_message(
             message_type="broker:failed",
--- a/indigoworks/broker/doubt_spread.py
+++ b/indigoworks/broker/doubt_broadcaster.py
@@ -17,17 +17,17 @@
 from indigoworks.exchange.peer_view import PeerView
 from indigoworks.quarantine.doubt import Doubt
 
-TOLD_AGAIN_S = (0.01, 0.02)
+RESEND_PAUSES_S = (0.01, 0.02)
 """Pauses before a doubt is told once more, and once more: datagrams are lost."""
 
-MAX_IN_NOTICE = 40
+MAX_DOUBTS_PER_NOTICE = 40
 """Doubts in one datagram, of 29 bytes each: it stays below the 1.5 KB of a packet."""
 
-MAX_TOLD_AT_ONCE = 200
+MAX_PENDING_DOUBTS = 200
 """Doubts that are told at one moment, of those that a cut link raises; what is beyond that is
 known here alone until a report names it."""
 
-HEARD_S = 0.5
+MAX_SILENCE_S = 0.5
 """Gateways that were heard within this time are asked to hand a notice on before others."""
 
 SALT_BITS = 32
@@ -35,7 +35,7 @@
 Send = Callable[[PeerAddress, DoubtNotice], None]
 
 
-class DoubtSpread:
+class DoubtBroadcaster:
     """Sends doubts to each gateway of a small group itself. In a larger one it divides the gateways
     into as many shares as each has members, and tells one member of each, who tells the others.
 
@@ -61,18 +61,18 @@
         self._on_doubt = on_doubt
         self._clock = clock
         self._random = random
-        self._waiting: dict[int, Doubt] = {}
+        self._pending: dict[int, Doubt] = {}
         self._newest: dict[int, Doubt] = {}
-        self._telling = CoalescedCall(self._tell_waiting)
+        self._broadcast_call = CoalescedCall(self._send_pending)
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def tell(self, doubt: Doubt) -> None:
+    def broadcast(self, doubt: Doubt) -> None:
         """Have all gateways told of a doubt that was raised or lifted here."""
-        if len(self._waiting) < MAX_TOLD_AT_ONCE:
-            self._waiting[doubt.number] = self._newest[doubt.number] = doubt
-            self._telling.ask()
+        if len(self._pending) < MAX_PENDING_DOUBTS:
+            self._pending[doubt.number] = self._newest[doubt.number] = doubt
+            self._broadcast_call.ask()
 
-    def take(self, notice: DoubtNotice) -> None:
+    def handle_notice(self, notice: DoubtNotice) -> None:
         """Take a notice of a peer, and hand it on where that is asked."""
         for doubt in notice.doubts:
             self._on_doubt(doubt)
@@ -89,16 +89,16 @@
 
     # ---- parts ----
 
-    def _tell_waiting(self) -> None:
-        doubts = tuple(self._waiting.values())
-        self._waiting = {}
+    def _send_pending(self) -> None:
+        doubts = tuple(self._pending.values())
+        self._pending = {}
         self._send_all(doubts)
-        task = asyncio.ensure_future(self._tell_again(doubts))
+        task = asyncio.ensure_future(self._resend(doubts))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _tell_again(self, doubts: tuple[Doubt, ...]) -> None:
-        for pause_s in TOLD_AGAIN_S:
+    async def _resend(self, doubts: tuple[Doubt, ...]) -> None:
+        for pause_s in RESEND_PAUSES_S:
             await self._clock.sleep(pause_s)
             # One that was lifted meanwhile is told by the telling of that.
             self._send_all(tuple(each for each in doubts if self._newest.get(each.number) is each))
@@ -107,8 +107,8 @@
                 del self._newest[each.number]
 
     def _send_all(self, doubts: tuple[Doubt, ...]) -> None:
-        for first in range(0, len(doubts), MAX_IN_NOTICE):
-            notice = DoubtNotice(doubts[first : first + MAX_IN_NOTICE])
+        for first in range(0, len(doubts), MAX_DOUBTS_PER_NOTICE):
+            notice = DoubtNotice(doubts[first : first + MAX_DOUBTS_PER_NOTICE])
             if self._directory.has_many():
                 self._send_to_shares(notice)
             else:
@@ -122,12 +122,14 @@
         for peer in self._directory.others():
             members[_share(peer, divided)].append(peer)
         for share, peers in members.items():
-            chosen = self._random.choice([each for each in peers if self._is_heard(each)] or peers)
+            chosen = self._random.choice(
+                [each for each in peers if self._is_recently_heard(each)] or peers
+            )
             self._send(chosen, replace(divided, share=share))
 
-    def _is_heard(self, peer: PeerAddress) -> bool:
+    def _is_recently_heard(self, peer: PeerAddress) -> bool:
         heard_s = self._peers.heard_time_s(peer.node)
-        return heard_s is not None and self._clock.now() - heard_s <= HEARD_S
+        return heard_s is not None and self._clock.now() - heard_s <= MAX_SILENCE_S
 
 
 def _share(peer: PeerAddress, notice: DoubtNotice) -> int:
--- a/indigoworks/broker/group_locks.py
+++ b/indigoworks/broker/group_locks.py
@@ -12,17 +12,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _BothLocks:
+class _CombinedLock:
     """Implements `AttemptLock`: the lock of the part that this process hears, and of all parts."""
 
-    of_part: AttemptLock
+    brokered: AttemptLock
     stored: StoredLock
     locks: StoredLocks
 
     def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
         """Give both rights back."""
         self.locks.release(self.stored, is_served, has_ended_server())
-        self.of_part.release(is_served, has_ended_server)
+        self.brokered.release(is_served, has_ended_server)
 
 
 class GroupLocks:
@@ -33,8 +33,8 @@
     A part that hears everybody goes by the row once another one has written it.
     """
 
-    def __init__(self, of_part: AttemptLocks, stored: StoredLocks, cuts: CutWatch) -> None:
-        self._of_part = of_part
+    def __init__(self, brokered: AttemptLocks, stored: StoredLocks, cuts: CutWatch) -> None:
+        self._brokered = brokered
         self._stored = stored
         self._cuts = cuts
 
@@ -42,7 +42,7 @@
         self, mark: int, limit_s: float, lease_s: float
     ) -> AttemptLock | Refusal | None:
         """Return the lock of a request, why it is not to be had, or None: nobody gives it out."""
-        of_part = await self._of_part.acquire(mark, limit_s, lease_s)
+        of_part = await self._brokered.acquire(mark, limit_s, lease_s)
         if of_part is None or isinstance(of_part, Refusal):
             return of_part
         if not self._cuts.is_cut() and not self._stored.is_in_use(mark):
@@ -53,7 +53,7 @@
         if isinstance(stored, Refusal):
             of_part.release(False, _nothing_ended)
             return stored
-        return _BothLocks(of_part, stored, self._stored)
+        return _CombinedLock(of_part, stored, self._stored)
 
     async def _acquire_stored(
         self, of_part: AttemptLock, mark: int, limit_s: float, lease_s: float
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -13,7 +13,7 @@
 to 0.3 s old at 79 gateways, would keep slots empty that are free again."""
 
 
-WORD_S = 0.2
+SERVER_LOAD_VALID_S = 0.2
 """A server's word on its load counts for so long: a request or two later it says something else."""
 
 
@@ -34,19 +34,19 @@
         self,
         reported: Callable[[str], int],
         peers: LoadView,
-        given: Callable[[str], int],
+        granted: Callable[[str], int],
         clock: Clock,
     ) -> None:
         self._reported = reported
         self._peers = peers
-        self._given = given
+        self._granted = granted
         self._clock = clock
         self._began_s = clock.now()
         self._is_taking_over = True
         self._surplus: dict[str, _Surplus] = {}
         self._peer_times_s: dict[str, float | None] = {}
 
-    def begin(self) -> None:
+    def start_takeover(self) -> None:
         """Take note that this process acts as broker from now on."""
         self._began_s = self._clock.now()
         self._is_taking_over = True
@@ -58,11 +58,11 @@
         if self._clock.now() - self._began_s > TAKEOVER_S:
             self._is_taking_over = False
 
-    def note_word(self, server_id: str, word: ServerWord) -> None:
+    def record_server_load(self, server_id: str, word: ServerWord) -> None:
         """Take a server's word: what it has beyond the slots granted here, others have sent."""
-        requests = word.running + word.waiting - self._given(server_id)
+        requests = word.running + word.waiting - self._granted(server_id)
         if requests > 0:
-            self._surplus[server_id] = _Surplus(requests, self._clock.now() + WORD_S)
+            self._surplus[server_id] = _Surplus(requests, self._clock.now() + SERVER_LOAD_VALID_S)
         else:
             self._surplus.pop(server_id, None)
 
@@ -73,7 +73,7 @@
     def in_flight(self, server_id: str) -> int:
         """Return the requests in flight that have no slot of this broker, as far as they count."""
         if self._is_taking_over:
-            return max(0, self._reported(server_id) - self._given(server_id))
+            return max(0, self._reported(server_id) - self._granted(server_id))
         surplus = self._surplus.get(server_id)
         if surplus is None or self._clock.now() >= surplus.until_s:
             return 0
--- a/indigoworks/broker/asker.py
+++ b/indigoworks/broker/requester.py
@@ -7,11 +7,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """One boot of a gateway.
 
     :ivar reply: sends it a reply.
     """
 
     boot: str
-    reply: Callable[[SlotReply], None]
+    send_reply: Callable[[SlotReply], None]
--- a/indigoworks/broker/slot_broker.py
+++ b/indigoworks/broker/slot_broker.py
@@ -5,9 +5,9 @@
 
 from eliot import log_message
 
-from indigoworks.broker.asker import Asker
 from indigoworks.broker.broker_queue import BrokerQueue
-from indigoworks.broker.lock_book import LockBook
+from indigoworks.broker.lock_table import LockTable
+from indigoworks.broker.requester import Requester
 from indigoworks.broker.reservation import Reservation
 from indigoworks.broker.slot_release import SlotRelease
 from indigoworks.broker.slot_reply import SlotOutcome, SlotReply
@@ -17,7 +17,7 @@
 from indigoworks.gateway.refusal import Refusal
 from indigoworks.gateway.waiting_request import WaitingRequest
 
-EXPIRY_PERIOD_S = 0.1
+EXPIRY_INTERVAL_S = 0.1
 """Time between two looks for reservations whose time is over."""
 
 LEASE_MARGIN_S = 0.1
@@ -31,7 +31,7 @@
     """Holds the one queue for the servers of a zone, and knows exactly what it has granted.
 
     A request that comes again under the same number gets the same reply: datagrams are lost. A
-    slot is free again with its release, with the end of its lease, or when its asker withdraws.
+    slot is free again with its release, with the end of its lease, or when its requester withdraws.
 
     :param make_queue: returns a new queue for the servers of a zone.
     :ivar is_stopping: set when the process is about to end: requests are declined from then on.
@@ -42,45 +42,45 @@
         self._clock = clock
         self._queues: dict[str, BrokerQueue] = {}
         self._reservations: dict[tuple[str, int], Reservation] = {}
-        self._asked_s = float("-inf")
-        self._locks = LockBook(clock)
+        self._last_request_s = float("-inf")
+        self._locks = LockTable(clock)
         self.is_stopping = False
 
-    def take_request(self, asker: Asker, request: SlotRequest) -> None:
+    def handle_request(self, requester: Requester, request: SlotRequest) -> None:
         """Reply to a request, now and perhaps once more when a slot is free."""
-        self._note_asked()
-        name = (asker.boot, request.number)
+        self._record_activity()
+        name = (requester.boot, request.number)
         known = self._reservations.get(name)
         if known is not None:
-            asker.reply(known.reply)
+            requester.send_reply(known.reply)
             return
         if self.is_stopping:
-            asker.reply(SlotReply(request.number, SlotOutcome.DECLINED))
+            requester.send_reply(SlotReply(request.number, SlotOutcome.DECLINED))
             return
         if request.suspect_mark:
-            self._locks.take_request(asker, request)
+            self._locks.handle_request(requester, request)
             return
         queue = self._queue_of(request.zone)
         if not request.may_wait and not queue.has_free_slot(request):
             wait_s = queue.wait_s(request)
-            asker.reply(SlotReply(request.number, SlotOutcome.FULL, wait_s=wait_s))
+            requester.send_reply(SlotReply(request.number, SlotOutcome.FULL, wait_s=wait_s))
             return
         reservation = self._reservations[name] = self._reserve(request, queue)
         placement = queue.queue.place_at_once(reservation.entry)
         if placement is not None:
-            self._tell(asker, reservation, placement)
+            self._send_placement(requester, reservation, placement)
             return
-        asker.reply(reservation.reply)
-        reservation.task = asyncio.ensure_future(self._wait(asker, reservation))
+        requester.send_reply(reservation.reply)
+        reservation.task = asyncio.ensure_future(self._wait(requester, reservation))
 
-    def take_release(self, boot: str, release: SlotRelease) -> None:
+    def handle_release(self, boot: str, release: SlotRelease) -> None:
         """Take a slot back, or a request that still waits for one."""
         reservation = self._reservations.pop((boot, release.number), None)
         if reservation is None:
-            self._locks.take_release(boot, release)
+            self._locks.handle_release(boot, release)
             return
         if reservation.server is not None:
-            reservation.queue.take_release(reservation.server, boot, release)
+            reservation.queue.apply_release(reservation.server, boot, release)
         self._end(reservation, release.is_served)
 
     def servers_changed(self) -> None:
@@ -88,9 +88,9 @@
         for each in self._queues.values():
             each.servers_changed()
 
-    def open_lock(self, mark: int) -> None:
+    def lift_lock(self, mark: int) -> None:
         """Let all tries of a request go on: the doubts about it are lifted."""
-        self._locks.open(mark)
+        self._locks.lift(mark)
 
     def reservation_count(self) -> int:
         """Return the requests that wait or have a slot."""
@@ -99,24 +99,24 @@
     async def run(self) -> None:
         """End reservations whose time is over; until cancelled."""
         while True:
-            await self._clock.sleep(EXPIRY_PERIOD_S)
+            await self._clock.sleep(EXPIRY_INTERVAL_S)
             now_s = self._clock.now()
             expired = [name for name, each in self._reservations.items() if each.until_s < now_s]
             for name in expired:
                 self._end(self._reservations.pop(name), is_served=False)
-            self._locks.tidy()
+            self._locks.remove_expired()
             for queue in self._queues.values():
-                queue.tidy()
+                queue.refresh()
 
     # ---- parts ----
 
-    def _note_asked(self) -> None:
+    def _record_activity(self) -> None:
         now_s = self._clock.now()
-        if now_s - self._asked_s > IDLE_S:
+        if now_s - self._last_request_s > IDLE_S:
             log_message(message_type="broker:acting")
             for each in self._queues.values():
-                each.load.begin()
-        self._asked_s = now_s
+                each.load.start_takeover()
+        self._last_request_s = now_s
 
     def _queue_of(self, zone: str) -> BrokerQueue:
         queue = self._queues.get(zone)
@@ -140,22 +140,24 @@
         reply = SlotReply(request.number, SlotOutcome.QUEUED)
         return Reservation(queue, entry, until_s, reply)
 
-    async def _wait(self, asker: Asker, reservation: Reservation) -> None:
+    async def _wait(self, requester: Requester, reservation: Reservation) -> None:
         placement = await reservation.queue.queue.wait_for_place(reservation.entry)
-        self._tell(asker, reservation, placement)
+        self._send_placement(requester, reservation, placement)
 
-    def _tell(self, asker: Asker, reservation: Reservation, placement: Placement) -> None:
-        """Tell the asker of a request what came of it."""
+    def _send_placement(
+        self, requester: Requester, reservation: Reservation, placement: Placement
+    ) -> None:
+        """Tell the requester of a request what came of it."""
         number = reservation.reply.number
         if isinstance(placement, Refusal):
-            self._reservations.pop((asker.boot, number), None)
-            asker.reply(SlotReply(number, SlotOutcome.REFUSED, refusal=placement))
+            self._reservations.pop((requester.boot, number), None)
+            requester.send_reply(SlotReply(number, SlotOutcome.REFUSED, refusal=placement))
             return
         # In the same step as its placement: from here on the slot counts at its server.
         reservation.server = placement
         reservation.started = reservation.queue.board.start(placement)
         reservation.reply = SlotReply(number, SlotOutcome.GRANTED, placement.server_id)
-        asker.reply(reservation.reply)
+        requester.send_reply(reservation.reply)
 
     def _end(self, reservation: Reservation, is_served: bool) -> None:
         if reservation.server is None or reservation.started is None:
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -6,7 +6,7 @@
 
 from result import Ok
 
-from indigoworks.broker.lock_book import AFTER_END_S, CLEARED_S
+from indigoworks.broker.lock_table import CLEARED_S, PAUSE_AFTER_SERVER_END_S
 from indigoworks.broker.stored_lock import StoredLock, decode_lock, encode_lock
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.refusal import Refusal, RefusalReason
@@ -24,28 +24,28 @@
 ROWS = 64
 """Rows that there may be. Requests whose marks fall on the same one wait for each other."""
 
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Pause between two looks at a row that another gateway holds."""
 
-RETRY_S = 0.1
+RELEASE_RETRY_S = 0.1
 """Pause after a release that the store did not take."""
 
-FEED_S = 0.5
+FEED_WAIT_S = 0.5
 """After a write that another gateway's outran, that one's is waited for so long."""
 
 STORE_LOST_S = 1.0
 """A store that has not answered for so long is not asked for locks."""
 
-KEPT_S = 0.06
+REUSE_S = 0.06
 """The lock of a try that went nowhere is kept so long: its request looks for the next server."""
 
 LEASE_TOLERANCE_MS = 200
 """A kept lock is written again where its lease is shorter than needed by more than this."""
 
-FREE_MS = 1
+EXPIRED_MS = 1
 """Reading of the store's clock that has passed long since."""
 
-RELEASE_TRIES = 5
+MAX_RELEASE_WRITES = 5
 """So often a release is written; where none arrives the lock ends with its lease."""
 
 IN_USE_S = 3.0
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Outrun:
+class _Conflict:
     """A write that failed on its condition: the version it expected, and when."""
 
     version: StoreVersion
@@ -87,18 +87,20 @@
         self._clock = clock
         self._number = 0
         self._rows: dict[str, _KnownRow] = {}
-        self._kept: dict[int, StoredLock] = {}
-        self._outrun: dict[str, _Outrun] = {}
+        self._reusable: dict[int, StoredLock] = {}
+        self._conflicts: dict[str, _Conflict] = {}
         self._unreached_since_s: float | None = None
         self._releases: set[asyncio.Task[None]] = set()
         group.eras.on_new(self._rows.clear)
 
-    def take_rows(self, rows: Iterable[Row]) -> None:
+    def apply_rows(self, rows: Iterable[Row]) -> None:
         """Take rows of the group; those of other kinds are passed over."""
         for row in rows:
             is_current = row.version.era == self._group.eras.current
             if row.key.startswith(ROW_PREFIX) and is_current:
-                self._note(row.key, None if row.is_removed else decode_lock(row.value), row.version)
+                self._record_row(
+                    row.key, None if row.is_removed else decode_lock(row.value), row.version
+                )
 
     def is_in_use(self, mark: int) -> bool:
         """Tell whether another gateway goes by the row of a request."""
@@ -115,31 +117,35 @@
         self._number += 1
         number = self._number
         while not self._is_store_lost():
-            kept = self._take_kept(mark)
+            kept = self._pop_reusable(mark)
             if kept is not None and self._is_long_enough(kept, lease_s):
                 return kept
             lock = self._in_force(mark) if kept is None else None
-            if lock is None and not self._is_outrun(mark):
+            if lock is None and not self._awaits_conflicting_row(mark):
                 lock = await self._try_to_write(mark, number, lease_s)
             if lock is not None and (lock.is_open or self._is_own(lock, number)):
                 return lock
-            if self._clock.now() + LOOK_S >= limit_s:
-                return Refusal(RefusalReason.SUSPECT, AFTER_END_S / 2, expected_s=AFTER_END_S / 2)
-            await self._clock.sleep(LOOK_S)
+            if self._clock.now() + POLL_INTERVAL_S >= limit_s:
+                return Refusal(
+                    RefusalReason.SUSPECT,
+                    PAUSE_AFTER_SERVER_END_S / 2,
+                    expected_s=PAUSE_AFTER_SERVER_END_S / 2,
+                )
+            await self._clock.sleep(POLL_INTERVAL_S)
         return None
 
     def release(self, lock: StoredLock, is_served: bool, has_ended_server: bool) -> None:
         """Write what came of a try; where that fails, the lock ends with its lease."""
         if lock.is_open:
             return
-        until_ms = FREE_MS
+        until_ms = EXPIRED_MS
         if has_ended_server or is_served:
-            until_ms = self._store_ms_in(CLEARED_S if is_served else AFTER_END_S)
+            until_ms = self._store_ms_in(CLEARED_S if is_served else PAUSE_AFTER_SERVER_END_S)
         ended = replace(lock, until_ms=until_ms, is_open=is_served)
-        is_kept = until_ms == FREE_MS
+        is_kept = until_ms == EXPIRED_MS
         if is_kept:
-            self._kept[lock.mark] = lock
-        task = asyncio.ensure_future(self._write_release(ended, KEPT_S if is_kept else 0.0))
+            self._reusable[lock.mark] = lock
+        task = asyncio.ensure_future(self._write_release(ended, REUSE_S if is_kept else 0.0))
         self._releases.add(task)
         task.add_done_callback(self._releases.discard)
 
@@ -164,18 +170,18 @@
             return None
         return lock if lock.mark == mark else replace(lock, is_open=False)
 
-    def _take_kept(self, mark: int) -> StoredLock | None:
+    def _pop_reusable(self, mark: int) -> StoredLock | None:
         """Return the lock that the last try of a request left here; None: there is none."""
-        kept = self._kept.pop(mark, None)
+        kept = self._reusable.pop(mark, None)
         return kept if kept is not None and self._stored(mark) == kept else None
 
     def _is_long_enough(self, lock: StoredLock, lease_s: float) -> bool:
         return lock.until_ms >= self._store_ms_in(lease_s) - LEASE_TOLERANCE_MS
 
-    def _is_outrun(self, mark: int) -> bool:
+    def _awaits_conflicting_row(self, mark: int) -> bool:
         """Tell whether another gateway has written the row, and its write has not come yet."""
-        outrun = self._outrun.get(_key(mark))
-        if outrun is None or self._clock.now() > outrun.at_s + FEED_S:
+        outrun = self._conflicts.get(_key(mark))
+        if outrun is None or self._clock.now() > outrun.at_s + FEED_WAIT_S:
             return False
         known = self._rows.get(_key(mark))
         return outrun.version == (ABSENT if known is None else known.version)
@@ -199,15 +205,15 @@
         """Write the end of a lock, unless it is kept and taken again before `after_s` is over."""
         if after_s:
             await self._clock.sleep(after_s)
-            if self._kept.pop(lock.mark, None) is None:
+            if self._reusable.pop(lock.mark, None) is None:
                 return
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_WRITES):
             stored = self._stored(lock.mark)
             if stored is not None and not self._is_own(stored, lock.number):
                 return
-            if not self._is_outrun(lock.mark) and await self._write(lock):
+            if not self._awaits_conflicting_row(lock.mark) and await self._write(lock):
                 return
-            await self._clock.sleep(RETRY_S)
+            await self._clock.sleep(RELEASE_RETRY_S)
 
     async def _write(self, lock: StoredLock) -> bool:
         """Write a row under the condition that it is as it is known here."""
@@ -218,18 +224,18 @@
         result = await self._store.commit(self._group.transaction((expected,), (put,)))
         if isinstance(result, Ok):
             self._unreached_since_s = None
-            self._note(key, lock, result.unwrap())
+            self._record_row(key, lock, result.unwrap())
             return True
         error = result.unwrap_err()
         if isinstance(error, ConditionFailed):
-            self._outrun[key] = _Outrun(expected.version, self._clock.now())
+            self._conflicts[key] = _Conflict(expected.version, self._clock.now())
         if not isinstance(error, StoreUnreachable):
             self._unreached_since_s = None
         elif self._unreached_since_s is None:
             self._unreached_since_s = self._clock.now()
         return False
 
-    def _note(self, key: str, lock: StoredLock | None, version: StoreVersion) -> None:
+    def _record_row(self, key: str, lock: StoredLock | None, version: StoreVersion) -> None:
         known = self._rows.get(key)
         if known is None or version > known.version:
             self._rows[key] = _KnownRow(lock, version)
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -7,7 +7,7 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
-KEPT_S = 0.02
+CACHE_S = 0.02
 """The usable servers are listed anew so often, and at once when the list has changed: a look at
 each of 30 for each request took 0.1 of its 0.37 ms of processor time at a broker."""
 
@@ -28,10 +28,10 @@
         if known is not None and now_s < known[0]:
             return known[1]
         usable = [each for each in self._servers.usable(service) if each.zone == self._zone]
-        self._usable[service] = (now_s + KEPT_S, usable)
+        self._usable[service] = (now_s + CACHE_S, usable)
         return usable
 
-    def forget_usable(self) -> None:
+    def clear_cache(self) -> None:
         """Look at the list of servers anew: it has changed."""
         self._usable.clear()
 
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -152,7 +152,7 @@
         self.leadership.signs.note(report)
         self._lags[0].note(report.node, report.operator_row_version)
         configurations = self._platform.configurations
-        configurations.note_newer(report.configuration_version, self._clock.now())
+        configurations.record_newer_version(report.configuration_version, self._clock.now())
         self._lags[1].note(report.node, report.group_version)
         if report.leader is not None and report.leader.epoch >= self.leadership.row.epoch:
             self.tables.note_beat(report.leader)
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from indigoworks.broker.broker_side import BrokerSide
+from indigoworks.broker.broker_subsystem import BrokerSubsystem
+from indigoworks.broker.brokered_locks import BrokeredLocks
 from indigoworks.broker.brokered_queue import BrokeredQueue
 from indigoworks.broker.group_locks import GroupLocks
 from indigoworks.broker.stored_locks import StoredLocks
-from indigoworks.broker.suspect_locks import SuspectLocks
 from indigoworks.common.clock import Clock
 from indigoworks.common.logging.line_rates import LineRates
 from indigoworks.common.metrics import Metrics
@@ -100,7 +100,7 @@
         )
         self.doubts = DoubtTable(clock, random)
         self._cuts = CutWatch(directory, peers, clock)
-        self.brokers = BrokerSide(
+        self.brokers = BrokerSubsystem(
             own,
             platform,
             tables,
@@ -167,7 +167,7 @@
             AttemptGate(
                 self._harm,
                 GroupLocks(
-                    SuspectLocks(self.brokers.choice, self.brokers.client, clock),
+                    BrokeredLocks(self.brokers.choice, self.brokers.client, clock),
                     self._stored_locks,
                     self._cuts,
                 ),
@@ -189,7 +189,7 @@
         """The doubts about a request are lifted: its lock, if it is given out here, is open."""
         known = self.quarantine.get(mark)
         if known is None or not known.crashes:
-            self.brokers.broker.open_lock(mark.short)
+            self.brokers.broker.lift_lock(mark.short)
 
     def servers_changed(self) -> None:
         """Look at all that waits, here and for others."""
@@ -209,7 +209,7 @@
         """Take rows of the group, which the directory has taken already."""
         self._cuts.take_rows(rows)
         self._quarantine_rows.take_rows(rows)
-        self._stored_locks.take_rows(rows)
+        self._stored_locks.apply_rows(rows)
 
     def use_settings(self, settings: GatewaySettings) -> None:
         """Go by what of `settings` can change in a running process."""
--- a/indigoworks/router/caller_headers.py
+++ b/indigoworks/router/caller_headers.py
@@ -30,12 +30,12 @@
 )
 
 
-def passed_to_backend(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+def headers_for_backend(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
     """Return the caller's headers that the back end gets."""
     return end_to_end_headers(headers)
 
 
-def passed_to_caller(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+def headers_for_caller(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
     """Return the back end's headers that the caller gets; the router writes some of its own."""
     kept = end_to_end_headers(headers)
     return tuple(pair for pair in kept if pair[0].lower() not in _OWN_ANSWER_HEADERS)
--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -8,10 +8,8 @@
 from indigoworks.backend.errors import BackendError, BackendUnreachable
 from indigoworks.common.fair_queue import FairQueue
 from indigoworks.router import refusals
-from indigoworks.router.cold_ramp import ColdRamp
 from indigoworks.router.dispatch_request import DispatchRequest
 from indigoworks.router.dispatcher_ports import DispatcherPorts
-from indigoworks.router.drain_rate import DrainRate
 from indigoworks.router.errors import (
     AnswerLost,
     OwnerUnreachable,
@@ -21,6 +19,8 @@
 )
 from indigoworks.router.queue_entry import QueueEntry
 from indigoworks.router.server_record import ServerRecord
+from indigoworks.router.service_time_estimate import ServiceTimeEstimate
+from indigoworks.router.slow_start import SlowStart
 from indigoworks.settings.resolved_settings import ResolvedSettings
 
 DispatchResult = Result[BackendAnswer, RouterError]
@@ -45,16 +45,16 @@
     cannot be served in time is refused as soon as that is known.
     """
 
-    def __init__(self, server: ServerRecord, ports: DispatcherPorts, ramp: ColdRamp) -> None:
+    def __init__(self, server: ServerRecord, ports: DispatcherPorts, slow_start: SlowStart) -> None:
         self.server = server
         self._ports = ports
-        self._ramp = ramp
+        self._slow_start = slow_start
         self._queue: FairQueue[QueueEntry] = FairQueue()
-        self._rate = DrainRate(ports.clock)
+        self._service_time = ServiceTimeEstimate(ports.clock)
         self._in_flight = 0
         self._divisor = 1
         self._paused_until_s = float("-inf")
-        self._waking: asyncio.Task[None] | None = None
+        self._wake_task: asyncio.Task[None] | None = None
 
     @property
     def in_flight(self) -> int:
@@ -111,7 +111,7 @@
         wait_s = self._estimated_wait_s(entry)
         if self._queue.length_of(entry.group) >= limits.max_queue_length:
             return refusals.queue_full(entry.group, self.server.name, self._spread(wait_s))
-        spare_s = request.deadline_s - self._ports.clock.now() - self._rate.service_s()
+        spare_s = request.deadline_s - self._ports.clock.now() - self._service_time.service_s()
         if wait_s > min(spare_s, limits.max_queue_delay_s):
             return refusals.wait_too_long(self.server.name, self._spread(wait_s))
         return None
@@ -119,7 +119,7 @@
     def _estimated_wait_s(self, entry: QueueEntry) -> float:
         """Return how long a new request of the group would wait, from the measured speed."""
         slots = self._limit()
-        service_s = self._rate.service_s()
+        service_s = self._service_time.service_s()
         share = self._queue.share_of(entry.group, entry.weight) * slots
         if entry.concurrency_limit is not None:
             share = min(share, entry.concurrency_limit)
@@ -131,10 +131,10 @@
     async def _wait_for_slot(
         self, entry: QueueEntry, request: DispatchRequest, queue_until_s: float, is_first: bool
     ) -> RouterError | None:
-        latest_s = min(queue_until_s, request.deadline_s - self._rate.service_s())
+        latest_s = min(queue_until_s, request.deadline_s - self._service_time.service_s())
         entry.granted.clear()
         self._queue.push(entry, is_first)
-        self._pump()
+        self._grant_slots()
         if entry.has_slot:
             return None
         try:
@@ -149,16 +149,16 @@
             return refusals.wait_too_long(self.server.name, self._spread(wait_s))
         except asyncio.CancelledError:
             if entry.has_slot:
-                self._give_back(entry, 0.0)
+                self._release_slot(entry, 0.0)
             else:
                 self._queue.remove(entry)
             raise
         return None
 
-    def _pump(self) -> None:
+    def _grant_slots(self) -> None:
         """Give free slots to those whose turn it is."""
         while self._queue and self._in_flight < self._limit() and self._pause_left_s() <= 0:
-            entry = self._queue.take(self._rate.service_s())
+            entry = self._queue.take(self._service_time.service_s())
             if entry is None:
                 break
             self._in_flight += 1
@@ -168,47 +168,47 @@
 
     def _limit(self) -> int:
         slots = max(1, self.server.slots // self._divisor)
-        return self._ramp.limit(self._ports.clock.now(), slots)
+        return self._slow_start.limit(self._ports.clock.now(), slots)
 
     def _pause_left_s(self) -> float:
         return max(0.0, self._paused_until_s - self._ports.clock.now())
 
     def _wake_when_needed(self) -> None:
         """The end of a pause and a step of the ramp are no events: look again after a while."""
-        is_ramping = self._ramp.is_ramping(self._ports.clock.now())
+        is_ramping = self._slow_start.is_ramping(self._ports.clock.now())
         if not self._queue or not (is_ramping or self._pause_left_s() > 0):
             return
-        if self._waking is None or self._waking.done():
-            self._waking = asyncio.ensure_future(self._wake())
+        if self._wake_task is None or self._wake_task.done():
+            self._wake_task = asyncio.ensure_future(self._wake())
 
     async def _wake(self) -> None:
         while self._queue and (self._pause_left_s() > 0 or self._is_ramping()):
             await self._ports.clock.sleep(min(self._pause_left_s() or WAKE_INTERVAL_S, 1.0))
-            self._pump()
+            self._grant_slots()
 
     def _is_ramping(self) -> bool:
-        return self._ramp.is_ramping(self._ports.clock.now())
+        return self._slow_start.is_ramping(self._ports.clock.now())
 
     # ---- sending ----
 
     async def _use_slot(self, entry: QueueEntry, request: DispatchRequest) -> DispatchResult:
-        measurement = self._rate.start()
+        measurement = self._service_time.start()
         is_served = False
         try:
             outcome = await self._send(request)
             is_served = isinstance(outcome, Ok) or isinstance(outcome.unwrap_err(), AnswerLost)
             return outcome
         finally:
-            busy_s = self._rate.finish(measurement, is_served)
+            busy_s = self._service_time.finish(measurement, is_served)
             owned = request.owned
             self._ports.loads.add(owned.service, owned.range_start, busy_s)
-            self._give_back(entry, busy_s)
+            self._release_slot(entry, busy_s)
 
-    def _give_back(self, entry: QueueEntry, cost_s: float) -> None:
+    def _release_slot(self, entry: QueueEntry, cost_s: float) -> None:
         entry.has_slot = False
         self._in_flight -= 1
         self._queue.give_back(entry, cost_s)
-        self._pump()
+        self._grant_slots()
 
     async def _send(self, request: DispatchRequest) -> DispatchResult:
         """Send at most once; everything that forbids sending is checked in the same loop turn."""
@@ -259,7 +259,7 @@
     def _shed_by_server(self, answer: BackendAnswer) -> ServerShedding:
         pause_s = min(MAX_SHED_PAUSE_S, max(MIN_SHED_PAUSE_S, answer.retry_after_s))
         self._paused_until_s = max(self._paused_until_s, self._ports.clock.now() + pause_s)
-        wait_s = max(answer.retry_after_s, self._rate.service_s())
+        wait_s = max(answer.retry_after_s, self._service_time.service_s())
         return refusals.server_shedding(self.server.name, self._spread(wait_s))
 
     def _spread(self, wait_s: float) -> float:
--- a/indigoworks/router/dispatcher_pool.py
+++ b/indigoworks/router/dispatcher_pool.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterator
 
-from indigoworks.router.cold_ramp import ColdRamp
 from indigoworks.router.dispatch_request import DispatchRequest
 from indigoworks.router.dispatcher import DispatchResult, ServerDispatcher
 from indigoworks.router.dispatcher_ports import DispatcherPorts
 from indigoworks.router.routing_view import RoutingView
 from indigoworks.router.server_record import ServerRecord
+from indigoworks.router.slow_start import SlowStart
 from indigoworks.settings.resolved_settings import ResolvedSettings
 from indigoworks.settings.settings_tree import DEFAULT_GROUP
 
@@ -26,7 +26,7 @@
     def __iter__(self) -> Iterator[ServerDispatcher]:
         return iter(tuple(self._dispatchers.values()))
 
-    def observe(self, view: RoutingView) -> None:
+    def apply_view(self, view: RoutingView) -> None:
         """Note which servers are new, and drop dispatchers of servers that are gone."""
         now_s = self._ports.clock.now()
         runs = {_run(server) for server in view.servers.values()}
@@ -62,7 +62,7 @@
         found = self._dispatchers.get(run)
         if found is None:
             first_seen_s = self._first_seen_s.setdefault(run, self._ports.clock.now())
-            found = ServerDispatcher(server, self._ports, ColdRamp(first_seen_s))
+            found = ServerDispatcher(server, self._ports, SlowStart(first_seen_s))
             self._dispatchers[run] = found
         return found
 
--- a/indigoworks/router/dispatcher_ports.py
+++ b/indigoworks/router/dispatcher_ports.py
@@ -7,7 +7,7 @@
 from indigoworks.backend.backend_requests import BackendRequests
 from indigoworks.common.clock import Clock
 from indigoworks.router.range_loads import RangeLoads
-from indigoworks.router.sent_memory import SentMemory
+from indigoworks.router.sent_requests import SentRequests
 
 
 @dataclass(frozen=True)
@@ -20,6 +20,6 @@
     clock: Clock
     backends: BackendRequests
     random: Random
-    sent: SentMemory
+    sent: SentRequests
     is_view_in_force: Callable[[], bool]
     loads: RangeLoads
--- a/indigoworks/router/forwarder.py
+++ b/indigoworks/router/forwarder.py
@@ -12,7 +12,7 @@
 from indigoworks.router.dispatcher import DispatchResult
 from indigoworks.router.errors import RouterError
 from indigoworks.router.forward_codec import dispatch_result, forward_request
-from indigoworks.router.peer_watch import PeerWatch
+from indigoworks.router.peer_monitor import PeerMonitor
 from indigoworks.router.router_peer import RouterPeer
 from indigoworks.wire import control_pb2
 from indigoworks.wire.errors import CallTimedOut, ConnectFailed, RefusedByPeer, WireError
@@ -31,9 +31,9 @@
 class Forwarder:
     """Keeps one connection to each router that it forwards to."""
 
-    def __init__(self, clock: Clock, watch: PeerWatch, group_id: int = 0) -> None:
+    def __init__(self, clock: Clock, monitor: PeerMonitor, group_id: int = 0) -> None:
         self._clock = clock
-        self._watch = watch
+        self._monitor = monitor
         self._group_id = group_id
         self._clients: dict[RouterPeer, RpcClient] = {}
         self._calls: Counter[RouterPeer] = Counter()
@@ -46,7 +46,7 @@
         the request to the owner.
         """
         client = self._client(peer)
-        if not await self._watch.is_reachable(peer, client):
+        if not await self._monitor.is_reachable(peer, client):
             return Err(refusals.dispatcher_unreachable(peer.name, "it does not answer probes."))
         remaining_s = request.deadline_s - self._clock.now()
         frame = self._frame(peer, request, remaining_s)
@@ -60,7 +60,7 @@
         reply = called.unwrap()
         if reply.WhichOneof("payload") != "forward_reply":
             return Err(refusals.answer_lost(f"router {peer.name} sent another message."))
-        self._watch.heard(peer, reply.forward_reply.clock_s)
+        self._monitor.record_answer(peer, reply.forward_reply.clock_s)
         return dispatch_result(reply.forward_reply)
 
     def keep_only(self, peers: tuple[RouterPeer, ...]) -> None:
@@ -84,7 +84,7 @@
     ) -> control_pb2.Frame:
         message = forward_request(request, remaining_s)
         message.dispatcher_incarnation = peer.incarnation
-        deadline_clock_s = self._watch.deadline_at(peer, request.deadline_s)
+        deadline_clock_s = self._monitor.peer_deadline(peer, request.deadline_s)
         if deadline_clock_s is not None:
             message.deadline_clock_s = deadline_clock_s
         return control_pb2.Frame(forward_request=message)
@@ -105,7 +105,7 @@
                 await asyncio.wait({call}, timeout=PROBE_AFTER_S)
                 if call.done():
                     return call.result()
-                if self._may_give_up(frame) and not await self._watch.is_alive(peer, client):
+                if self._may_give_up(frame) and not await self._monitor.is_alive(peer, client):
                     return Err(_silent(peer))
         finally:
             call.cancel()
@@ -118,7 +118,7 @@
     def _failure(
         self, peer: RouterPeer, client: RpcClient, request: DispatchRequest, error: WireError
     ) -> RouterError:
-        self._watch.suspect(peer)
+        self._monitor.mark_suspect(peer)
         log_message(
             message_type="router:forward_failed",
             request_id=request.owned.request_id,
--- a/indigoworks/router/http_server.py
+++ b/indigoworks/router/http_server.py
@@ -19,7 +19,7 @@
 WRITE_TIMEOUT_S = 5.0
 """Longest wait, after the router has stopped, for answers that are still being written."""
 
-LAST_REQUESTS_S = 0.2
+CLOSE_LINGER_S = 0.2
 """Time for requests on connections that were open when the port closed: they are still refused by
 an answer, so that their callers know that they did not run."""
 
@@ -53,7 +53,7 @@
         """
         await self._router.stop()
         self._listener.stop()
-        await LoopClock().sleep(LAST_REQUESTS_S)
+        await LoopClock().sleep(CLOSE_LINGER_S)
         await self._finish_answers()
         await self._server.close_all_connections()
 
--- a/indigoworks/router/idempotency_memory.py
+++ b/indigoworks/router/idempotency_cache.py
@@ -12,13 +12,13 @@
 from indigoworks.router.caller_response import CallerResponse, response_of_error
 from indigoworks.router.outcome import Outcome
 
-REMEMBERED_S = 300.0
+RETENTION_S = 300.0
 """Seconds for which the answer of a finished run is kept."""
 
-REMEMBERED_ENTRIES = 10_000
+MAX_ENTRIES = 10_000
 """Answers kept at most; the oldest are dropped first."""
 
-REMEMBERED_BYTES = 64 * 1024 * 1024
+MAX_BYTES = 64 * 1024 * 1024
 """Bytes of bodies kept at most; the oldest answers are dropped first."""
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Run:
+class ActiveRun:
     """One run in progress.
 
     :ivar fingerprint: hash of what a resend must repeat.
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Remembered:
+class FinishedRun:
     """The answer of a finished run; `finished_s` is a reading of the router's clock."""
 
     fingerprint: bytes
@@ -52,7 +52,7 @@
     finished_s: float
 
 
-class IdempotencyMemory:
+class IdempotencyCache:
     """Coalesces resends under one idempotency key, and answers later ones from memory.
 
     Extent: resends that reach the same router process, within REMEMBERED_S of the end of the run,
@@ -63,21 +63,21 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._runs: dict[IdempotencyId, Run] = {}
-        self._remembered: OrderedDict[IdempotencyId, Remembered] = OrderedDict()
-        self._remembered_bytes = 0
+        self._runs: dict[IdempotencyId, ActiveRun] = {}
+        self._finished: OrderedDict[IdempotencyId, FinishedRun] = OrderedDict()
+        self._finished_bytes = 0
 
     async def answer(
         self, request: CallerRequest, run: Callable[[], Awaitable[CallerResponse]]
     ) -> CallerResponse:
         """Return the answer of the one run; `run` is called only if there is none."""
-        self._forget_old()
+        self._evict_old()
         identity = _identity(request)
         fingerprint = _fingerprint(request)
-        known = self._runs.get(identity) or self._remembered.get(identity)
+        known = self._runs.get(identity) or self._finished.get(identity)
         if known is not None and known.fingerprint != fingerprint:
             return response_of_error(refusals.idempotency_key_reused())
-        if isinstance(known, Remembered):
+        if isinstance(known, FinishedRun):
             return known.response
         if known is None:
             known = self._start(identity, fingerprint, run)
@@ -94,8 +94,10 @@
         identity: IdempotencyId,
         fingerprint: bytes,
         run: Callable[[], Awaitable[CallerResponse]],
-    ) -> Run:
-        started = Run(fingerprint, asyncio.ensure_future(self._run(identity, fingerprint, run)))
+    ) -> ActiveRun:
+        started = ActiveRun(
+            fingerprint, asyncio.ensure_future(self._run(identity, fingerprint, run))
+        )
         self._runs[identity] = started
         return started
 
@@ -108,29 +110,29 @@
         try:
             response = await run()
             if response.outcome is not Outcome.NOT_RUN:
-                self._remember(identity, Remembered(fingerprint, response, self._clock.now()))
+                self._store(identity, FinishedRun(fingerprint, response, self._clock.now()))
             return response
         finally:
             # In the same turn as the memory is filled: no resend may find neither of them.
             del self._runs[identity]
 
-    def _remember(self, identity: IdempotencyId, remembered: Remembered) -> None:
-        self._remembered[identity] = remembered
-        self._remembered_bytes += len(remembered.response.body)
-        self._forget_old()
+    def _store(self, identity: IdempotencyId, remembered: FinishedRun) -> None:
+        self._finished[identity] = remembered
+        self._finished_bytes += len(remembered.response.body)
+        self._evict_old()
 
-    def _forget_old(self) -> None:
-        oldest_kept_s = self._clock.now() - REMEMBERED_S
-        while self._remembered:
-            identity, oldest = next(iter(self._remembered.items()))
+    def _evict_old(self) -> None:
+        oldest_kept_s = self._clock.now() - RETENTION_S
+        while self._finished:
+            identity, oldest = next(iter(self._finished.items()))
             if oldest.finished_s >= oldest_kept_s and not self._is_over_bounds():
                 return
-            del self._remembered[identity]
-            self._remembered_bytes -= len(oldest.response.body)
+            del self._finished[identity]
+            self._finished_bytes -= len(oldest.response.body)
 
     def _is_over_bounds(self) -> bool:
-        is_too_many = len(self._remembered) > REMEMBERED_ENTRIES
-        return is_too_many or self._remembered_bytes > REMEMBERED_BYTES
+        is_too_many = len(self._finished) > MAX_ENTRIES
+        return is_too_many or self._finished_bytes > MAX_BYTES
 
 
 def _identity(request: CallerRequest) -> IdempotencyId:
--- a/indigoworks/router/starting_view.py
+++ b/indigoworks/router/initial_view.py
@@ -9,7 +9,7 @@
 from indigoworks.wire.control_pb2 import ViewReply
 
 
-async def read_starting_view(objects: ObjectStore, group_id: int) -> RoutingView | None:
+async def read_initial_view(objects: ObjectStore, group_id: int) -> RoutingView | None:
     """Return a recent view from the object store, or None where there is none to be had.
 
     It must not be acted upon: a controller confirms it first and adds what has changed since.
--- a/indigoworks/router/peer_clock.py
+++ b/indigoworks/router/peer_clock.py
@@ -14,15 +14,15 @@
 
     def __init__(self) -> None:
         self._difference_s: float | None = None
-        self._learnt_at_s = 0.0
+        self._recorded_at_s = 0.0
 
-    def learn(self, reading_s: float, now_s: float) -> None:
+    def record_reading(self, reading_s: float, now_s: float) -> None:
         """Take a reading of the peer's clock that arrived at `now_s`."""
         difference_s = reading_s - now_s
         known_s = self._bound_s(now_s)
         if known_s is None or difference_s > known_s:
             self._difference_s = difference_s
-            self._learnt_at_s = now_s
+            self._recorded_at_s = now_s
 
     def deadline(self, deadline_s: float, now_s: float) -> float | None:
         """Return a deadline of the own clock as a reading of the peer's; None: nothing is known."""
@@ -36,4 +36,4 @@
         if self._difference_s is None:
             return None
         # The clocks may have drifted apart since.
-        return self._difference_s - 2 * MAX_CLOCK_DRIFT * (now_s - self._learnt_at_s)
+        return self._difference_s - 2 * MAX_CLOCK_DRIFT * (now_s - self._recorded_at_s)
--- a/indigoworks/router/request_path.py
+++ b/indigoworks/router/request_path.py
@@ -80,7 +80,7 @@
             if isinstance(result, Ok):
                 return result
             error = result.unwrap_err()
-            self._note_loss(request, error)
+            self._record_loss(request, error)
             if not await self._may_try_again(request, route, error):
                 return Err(self._verdict(request, error))
 
@@ -104,7 +104,7 @@
     def _may_send_again(self, request: RoutedRequest, error: RouterError) -> bool:
         """After a lost answer the request may have run: only a repeatable one is sent again."""
         is_lost = isinstance(error, AnswerLost | RouterFault)
-        return is_lost and request.is_repeatable and self._take_repeat(request)
+        return is_lost and request.is_repeatable and self._claim_retry(request)
 
     async def _may_route_again(
         self, request: RoutedRequest, route: Route, error: RouterError
@@ -115,7 +115,7 @@
         if await self._has_new_route(request, route):
             request.reroutes += 1
             return request.reroutes <= REROUTE_LIMIT
-        return self._take_repeat(request)
+        return self._claim_retry(request)
 
     async def _has_new_route(self, request: RoutedRequest, route: Route) -> bool:
         """Tell whether the request now goes another way; wait a little for that.
@@ -139,23 +139,23 @@
             return False
         return (new.assignment, new.peer) != (old.assignment, old.peer)
 
-    def _take_repeat(self, request: RoutedRequest) -> bool:
-        if request.repeats >= request.settings.retry_limit:
+    def _claim_retry(self, request: RoutedRequest) -> bool:
+        if request.retries >= request.settings.retry_limit:
             return False
-        if not self._budget(request).take():
+        if not self._budget(request).try_spend():
             return False
-        request.repeats += 1
+        request.retries += 1
         return True
 
     def _verdict(self, request: RoutedRequest, error: RouterError) -> RouterError:
         """Once an answer was lost, no later refusal makes the request "not run"."""
-        return request.lost if request.lost is not None else error
+        return request.lost_answer if request.lost_answer is not None else error
 
     # ---- parts ----
 
-    def _note_loss(self, request: RoutedRequest, error: RouterError) -> None:
-        if error.outcome is Outcome.UNKNOWN and request.lost is None:
-            request.lost = error
+    def _record_loss(self, request: RoutedRequest, error: RouterError) -> None:
+        if error.outcome is Outcome.UNKNOWN and request.lost_answer is None:
+            request.lost_answer = error
 
     def _log_attempt(self, request: RoutedRequest, route: Route, result: DispatchResult) -> None:
         log_message(
--- a/indigoworks/router/retry_budget.py
+++ b/indigoworks/router/retry_budget.py
@@ -17,7 +17,7 @@
         """Count one request of a service that allows `ratio` retries per request."""
         self._tokens = min(RETRY_BURST, self._tokens + ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry; False when the budget is used up."""
         if self._tokens < 1.0:
             return False
--- a/indigoworks/router/route_finder.py
+++ b/indigoworks/router/route_finder.py
@@ -1,7 +1,7 @@
 """Finds the owner of a key and its dispatcher."""
 
-from indigoworks.router.dispatcher_choices import DispatcherChoices
-from indigoworks.router.peer_watch import PeerWatch
+from indigoworks.router.dispatcher_cache import DispatcherCache
+from indigoworks.router.peer_monitor import PeerMonitor
 from indigoworks.router.route import Route
 from indigoworks.router.routed_request import RoutedRequest
 from indigoworks.router.routing_view import RoutingView
@@ -10,10 +10,10 @@
 class RouteFinder:
     """Routes requests by a view."""
 
-    def __init__(self, incarnation: str, watch: PeerWatch) -> None:
+    def __init__(self, incarnation: str, monitor: PeerMonitor) -> None:
         self._incarnation = incarnation
-        self._watch = watch
-        self._choices = DispatcherChoices()
+        self._monitor = monitor
+        self._dispatchers = DispatcherCache()
 
     def find(self, view: RoutingView, request: RoutedRequest) -> Route | None:
         """Return the route, or None when nobody serves the key."""
@@ -25,7 +25,7 @@
             return None
         peer = None
         if request.settings.hop != "direct":
-            peer = self._choices.dispatcher_of(server, view.routers, self._watch.suspects())
+            peer = self._dispatchers.dispatcher_of(server, view.routers, self._monitor.suspects())
         if peer is not None and peer.incarnation == self._incarnation:
             peer = None
         return Route(view, assignment, server, peer)
--- a/indigoworks/router/routed_request.py
+++ b/indigoworks/router/routed_request.py
@@ -25,10 +25,10 @@
     settings: ResolvedSettings
     deadline_s: float
     is_repeatable: bool
-    repeats: int = 0
+    retries: int = 0
     reroutes: int = 0
     waited_s: float = 0.0
-    lost: RouterError | None = None
+    lost_answer: RouterError | None = None
     place: int = field(init=False)
 
     def __post_init__(self) -> None:
--- a/indigoworks/router/router.py
+++ b/indigoworks/router/router.py
@@ -24,9 +24,10 @@
 from indigoworks.router.errors import RouterFault
 from indigoworks.router.forward_service import ForwardService
 from indigoworks.router.forwarder import Forwarder
-from indigoworks.router.idempotency_memory import IdempotencyMemory
+from indigoworks.router.idempotency_cache import IdempotencyCache
+from indigoworks.router.initial_view import read_initial_view
 from indigoworks.router.metrics import RouterMetrics
-from indigoworks.router.peer_watch import PeerWatch
+from indigoworks.router.peer_monitor import PeerMonitor
 from indigoworks.router.range_loads import RangeLoads
 from indigoworks.router.request_check import RequestCheck
 from indigoworks.router.request_path import RequestPath
@@ -36,8 +37,7 @@
 from indigoworks.router.router_observer import RouterObserver
 from indigoworks.router.router_ports import RouterPorts
 from indigoworks.router.routing_view import RoutingView
-from indigoworks.router.sent_memory import SentMemory
-from indigoworks.router.starting_view import read_starting_view
+from indigoworks.router.sent_requests import SentRequests
 from indigoworks.router.view_follower import ViewFollower
 from indigoworks.settings.router_settings import RouterSettings
 from indigoworks.wire import control_pb2
@@ -81,11 +81,11 @@
             self._member, directory, ports.clock, settings.group_id, self._loads
         )
         self._pool = self._dispatcher_pool(ports, random)
-        self._watch = PeerWatch(ports.clock)
-        self._forwarder = Forwarder(ports.clock, self._watch, settings.group_id)
+        self._monitor = PeerMonitor(ports.clock)
+        self._forwarder = Forwarder(ports.clock, self._monitor, settings.group_id)
         self._path = self._request_path(random)
         self._check = RequestCheck(ports.clock)
-        self._idempotency = IdempotencyMemory(ports.clock)
+        self._idempotency = IdempotencyCache(ports.clock)
         service = ForwardService(
             self._member, self._follower, self._pool, ports.clock, self._stopping
         )
@@ -103,14 +103,14 @@
                 clock=ports.clock,
                 backends=ports.backends,
                 random=random,
-                sent=SentMemory(ports.clock),
+                sent=SentRequests(ports.clock),
                 is_view_in_force=self._is_view_in_force,
                 loads=self._loads,
             )
         )
 
     def _request_path(self, random: Random) -> RequestPath:
-        finder = RouteFinder(self._member.incarnation, self._watch)
+        finder = RouteFinder(self._member.incarnation, self._monitor)
         return RequestPath(self._follower, finder, self._pool, self._forwarder, self._clock, random)
 
     @property
@@ -165,7 +165,7 @@
 
     async def _stop(self) -> None:
         self._is_stopping = True
-        self._follower.leave_dispatch()
+        self._follower.stop_dispatching()
         log_message(message_type="router:stopping", in_progress=self._handling.count)
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
@@ -181,9 +181,9 @@
             try:
                 response = await self._answer(request)
             except asyncio.CancelledError:
-                self._observer.cancelled(request, started_s)
+                self._observer.record_cancelled(request, started_s)
                 raise
-        self._observer.answered(request, response, started_s)
+        self._observer.record_answer(request, response, started_s)
         return response
 
     async def _answer(self, request: CallerRequest) -> CallerResponse:
@@ -233,16 +233,16 @@
         log_message(message_type="router:stopped")
 
     async def _follow(self) -> None:
-        self._follower.start_from(await read_starting_view(self._objects, self._group_id))
+        self._follower.set_initial_view(await read_initial_view(self._objects, self._group_id))
         await self._follower.run()
 
     async def _observe_views(self) -> None:
         """Keep dispatchers and connections in step with the view."""
         while True:
             view = await self._follower.next_change()
-            self._pool.observe(view)
+            self._pool.apply_view(view)
             self._forwarder.keep_only(view.routers)
-            self._watch.keep_only(view.routers)
+            self._monitor.keep_only(view.routers)
 
     def _is_view_in_force(self) -> bool:
         return self._follower.in_force() is not None
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -28,16 +28,18 @@
         self._clock = clock
         self._add_gauges()
 
-    def answered(self, request: CallerRequest, response: CallerResponse, started_s: float) -> None:
+    def record_answer(
+        self, request: CallerRequest, response: CallerResponse, started_s: float
+    ) -> None:
         """Note an answer to a request that came in at `started_s`."""
         error_kind = "" if response.error is None else response.error.kind
-        self._note(request, response.outcome.value, error_kind, started_s)
+        self._record(request, response.outcome.value, error_kind, started_s)
 
-    def cancelled(self, request: CallerRequest, started_s: float) -> None:
+    def record_cancelled(self, request: CallerRequest, started_s: float) -> None:
         """Note that the caller went away."""
-        self._note(request, OUTCOME_CANCELLED, "", started_s)
+        self._record(request, OUTCOME_CANCELLED, "", started_s)
 
-    def _note(
+    def _record(
         self, request: CallerRequest, outcome: str, error_kind: str, started_s: float
     ) -> None:
         duration_s = self._clock.now() - started_s
--- a/indigoworks/router/sent_memory.py
+++ b/indigoworks/router/sent_requests.py
@@ -4,14 +4,14 @@
 
 from indigoworks.common.clock import Clock
 
-SENT_MEMORY_S = 300.0
+RETENTION_S = 300.0
 """Seconds for which a request id is remembered."""
 
-SENT_MEMORY_ENTRIES = 100_000
+MAX_ENTRIES = 100_000
 """Request ids remembered at most; the oldest are forgotten first."""
 
 
-class SentMemory:
+class SentRequests:
     """Keeps one dispatcher from sending the same non-repeatable request twice.
 
     The memory is that of one process: it ends with it, after SENT_MEMORY_S, or when
@@ -25,7 +25,7 @@
 
     def claim(self, request_id: str) -> bool:
         """Note that the request is about to be sent; False when it was sent before."""
-        self._forget_old()
+        self._evict_old()
         if request_id in self._sent:
             return False
         self._sent[request_id] = self._clock.now()
@@ -35,10 +35,10 @@
         """Note that the request provably did not run, so that it may be sent again."""
         self._sent.pop(request_id, None)
 
-    def _forget_old(self) -> None:
-        oldest_kept_s = self._clock.now() - SENT_MEMORY_S
+    def _evict_old(self) -> None:
+        oldest_kept_s = self._clock.now() - RETENTION_S
         while self._sent:
             request_id, sent_at_s = next(iter(self._sent.items()))
-            if sent_at_s >= oldest_kept_s and len(self._sent) < SENT_MEMORY_ENTRIES:
+            if sent_at_s >= oldest_kept_s and len(self._sent) < MAX_ENTRIES:
                 return
             del self._sent[request_id]
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -168,7 +168,7 @@
                 group=self._group(),
                 method=self.request.method or "",
                 path=self.request.uri or "",
-                headers=names.passed_to_backend(headers.get_all()),
+                headers=names.headers_for_backend(headers.get_all()),
                 body=b"".join(self._chunks),
                 timeout_s=timeout_s.unwrap(),
                 idempotency_key=headers.get(names.IDEMPOTENCY_KEY),
@@ -191,7 +191,7 @@
     def _write_response(self, response: CallerResponse) -> None:
         self.set_status(response.status)
         self.clear_header("Content-Type")
-        for name, value in names.passed_to_caller(response.headers):
+        for name, value in names.headers_for_caller(response.headers):
             self.add_header(name, value)
         self.set_header(names.REQUEST_ID, self._request_id)
         self.set_header(names.OUTCOME, response.outcome.value)
--- a/indigoworks/router/drain_rate.py
+++ b/indigoworks/router/service_time_estimate.py
@@ -9,7 +9,7 @@
 """Weight of the newest measurement in the moving average."""
 
 
-class DrainRate:
+class ServiceTimeEstimate:
     """Time that one request takes at a back end, from what the dispatcher measures.
 
     The back end's own load reports lag and mislead, so they are not used.
--- a/indigoworks/router/cold_ramp.py
+++ b/indigoworks/router/slow_start.py
@@ -4,7 +4,7 @@
 """Seconds from a server's first appearance to the use of all its slots."""
 
 
-class ColdRamp:
+class SlowStart:
     """Grows the concurrency of one run of a server from 1 to its slots."""
 
     def __init__(self, first_seen_s: float) -> None:
--- a/indigoworks/router/view_follower.py
+++ b/indigoworks/router/view_follower.py
@@ -26,7 +26,7 @@
 MAX_STALENESS_S = 1.0
 """A controller whose own state was confirmed longer ago than this is left for the next one."""
 
-POLLS_AWAY = 60
+MAX_FALLBACK_POLLS = 60
 """Polls of a controller that is not the first choice, before the first choice is tried again."""
 
 
@@ -68,11 +68,11 @@
         """Return the seconds for which the view may still be used."""
         return self._lease.remaining_s(self._clock.now())
 
-    def leave_dispatch(self) -> None:
+    def stop_dispatching(self) -> None:
         """Poll on, but no longer as a router that others may choose as dispatcher."""
         self._is_router = False
 
-    def start_from(self, view: RoutingView | None) -> None:
+    def set_initial_view(self, view: RoutingView | None) -> None:
         """Begin with a view that is not in force; polls then ask only for what is newer."""
         if self._view is None:
             self._view = view
@@ -121,7 +121,7 @@
         client = RpcClient(address, self._group_id)
         polls = 0
         try:
-            while polls < POLLS_AWAY or self._is_first(address):
+            while polls < MAX_FALLBACK_POLLS or self._is_first(address):
                 if not await self._poll(client):
                     break
                 polls += 1
@@ -144,7 +144,7 @@
         if frame.WhichOneof("payload") != "view_reply":
             self._log_failure(client.address, "it answered with another message")
             return False
-        return self._take(frame.view_reply, asked_at_s, client.address)
+        return self._apply(frame.view_reply, asked_at_s, client.address)
 
     def _request(self, asked_at_s: float) -> control_pb2.ViewRequest:
         view = self._view
@@ -163,7 +163,7 @@
             request.loads.extend(self._loads.report())
         return request
 
-    def _take(self, reply: control_pb2.ViewReply, asked_at_s: float, address: Address) -> bool:
+    def _apply(self, reply: control_pb2.ViewReply, asked_at_s: float, address: Address) -> bool:
         """Apply a reply; False when the next controller should be asked."""
         updated = updated_view(self._view, reply)
         if isinstance(updated, Err):
--- a/indigoworks/routes/configuration_holder.py
+++ b/indigoworks/routes/configuration_holder.py
@@ -6,7 +6,7 @@
 
 from indigoworks.routes.configuration import Configuration
 
-BEHIND_S = 5.0
+NEWER_VERSION_VALID_S = 5.0
 """A newer version that nobody told of for so long is not waited for: its holder is gone, or was
 out of step. Twice the longest time of today's deployments in which a change must be in force."""
 
@@ -17,14 +17,14 @@
     def __init__(self) -> None:
         self._current: Configuration | None = None
         self._newest_version = 0
-        self._newest_heard_s = float("-inf")
+        self._newest_reported_s = float("-inf")
         self._listeners: list[Callable[[Configuration], None]] = []
 
     def current(self) -> Configuration | None:
         """Return what is in force; None until a configuration was read."""
         return self._current
 
-    def note_newer(self, version: int, at_s: float) -> None:
+    def record_newer_version(self, version: int, reported_at_s: float) -> None:
         """Take note that another process has this version in force.
 
         A store that came back from a copy may be without it for as long as the operator needs.
@@ -33,12 +33,12 @@
         """
         if version >= self._newest_version:
             self._newest_version = version
-            self._newest_heard_s = at_s
+            self._newest_reported_s = reported_at_s
 
     def is_behind(self, now_s: float) -> bool:
         """Tell whether another process that is heard has a newer configuration in force."""
         is_older = self._current is not None and self._current.version < self._newest_version
-        return is_older and now_s - self._newest_heard_s <= BEHIND_S
+        return is_older and now_s - self._newest_reported_s <= NEWER_VERSION_VALID_S
 
     def on_change(self, listener: Callable[[Configuration], None]) -> None:
         """Call `listener` after each change."""
--- a/indigoworks/routes/share_tree.py
+++ b/indigoworks/routes/share_tree.py
@@ -31,7 +31,7 @@
 
     def weight_of(self, service: str, group: str, key: str | None = None) -> float:
         """Return the weight of `group` at `service`, for requests of `key`."""
-        found = self.services.get(service, _SILENT)
+        found = self.services.get(service, _NO_WEIGHTS)
         levels = (
             None if key is None else found.keys.get(key),
             found.groups.get(group),
@@ -42,4 +42,4 @@
         return next((each for each in levels if each is not None), EQUAL_WEIGHT)
 
 
-_SILENT = ServiceShares()
+_NO_WEIGHTS = ServiceShares()
