--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -13,11 +13,11 @@
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.lease_timing import BACKEND_LEASE_S
 from indigoworks.controller.ownership_context import OwnershipContext
-from indigoworks.controller.ownership_rules import take_from_lost_servers
-from indigoworks.controller.placement.key_space_cut import cut_key_space, cut_out_place
+from indigoworks.controller.ownership_rules import reassign_ranges_of_lost_servers
+from indigoworks.controller.placement.key_space_split import split_key_space, split_out_position
 from indigoworks.controller.placement.move_budget import MoveBudget
 from indigoworks.controller.placement.rebalance import next_move
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.controller.server_lease import ServerLease
 from indigoworks.controller.view_history import MAX_KEPT_CHANGES
 from indigoworks.settings import SettingsTree
@@ -194,10 +194,10 @@
     @PROPERTY
     @for_all(strategies.integers(0, KEY_SPACE_MAX), strategies.integers(1, 64))
     def check(place, count):
-        ranges = cut_key_space("catalogue", count)
+        ranges = split_key_space("catalogue", count)
         record = next(each for each in ranges if each.start <= place <= each.end)
         record.owner, record.token = "a", 7
-        parts = cut_out_place(record, place)
+        parts = split_out_position(record, place)
         covered = [number for part in parts for number in (part.start, part.end)]
         assert covered[0] == record.start and covered[-1] == record.end
         assert all(b == a + 1 for a, b in zip(covered[1:-1:2], covered[2::2], strict=True))
@@ -214,13 +214,13 @@
     def check(server_count, range_count, seed):
         random = Random(seed)
         servers = [Server(name=f"s{n}", slots=random.randint(1, 4)) for n in range(server_count)]
-        records = list(cut_key_space("catalogue", range_count))
+        records = list(split_key_space("catalogue", range_count))
         for record in records:
             record.owner = random.choice(servers).name
-        heaviest = ServerBoard(servers, records)
+        heaviest = ServerWeights(servers, records)
         ceiling = heaviest.density(heaviest.heaviest().name)
         for _ in range(range_count * server_count + 1):
-            board = ServerBoard(servers, records)
+            board = ServerWeights(servers, records)
             assert board.density(board.heaviest().name) <= ceiling
             ceiling = board.density(board.heaviest().name)
             move = next_move(board, records, threshold=1.1)
@@ -240,7 +240,7 @@
         budget, now_s, taken = MoveBudget(per_minute, 0.0), 0.0, 0
         for pause_s in pauses:
             now_s += pause_s
-            taken += budget.take(now_s)
+            taken += budget.try_consume(now_s)
         assert taken <= max(1.0, per_minute / 10) + now_s * per_minute / 60 + 1e-6
 
     check()
@@ -252,7 +252,7 @@
     for number in range(server_count):
         server = Server(name=f"s{number}", service="catalogue", slots=2, state=SERVER_STATE_LIVE)
         context.state.apply(number + 1, Command(register_server={"server": server}))
-    records = list(cut_key_space("catalogue", range_count))
+    records = list(split_key_space("catalogue", range_count))
     for number, record in enumerate(records):
         record.owner, record.generation = f"s{number % server_count}", 1
     context.state.apply(server_count + 1, change([], records))
@@ -264,7 +264,7 @@
     rule_context = OwnershipContext(
         context.state, FakeLeases(context.lost), FakeLeadership(), SettingsTree(), FixedClock()
     )
-    commands = take_from_lost_servers(rule_context)
+    commands = reassign_ranges_of_lost_servers(rule_context)
     for index, command in enumerate(commands, context.state.applied_index + 1):
         context.state.apply(index, command)
 
--- a/features/steps/gateway_doubt_steps.py
+++ b/features/steps/gateway_doubt_steps.py
@@ -44,7 +44,7 @@
     context.doubt_clock = SetClock()
     context.doubts = DoubtTable(context.doubt_clock, context.random)
     context.freed = []
-    context.doubts.on_free = context.freed.append
+    context.doubts.on_last_lifted = context.freed.append
     context.doubt_words = []
     context.doubts.on_doubt = context.doubt_words.append
 
@@ -56,7 +56,7 @@
 
 @when("peers are told of that doubt")
 def step_tell(context):
-    context.doubts.tell(context.doubt)
+    context.doubts.announce(context.doubt)
 
 
 @then("peers heard {count:d} words of doubts")
@@ -70,7 +70,7 @@
     assert any(each.status != 200 for each in answers), "no answer was lost"
     doubts = [each.side.doubts for each in context.crash.gateways.values()]
     assert sum(each.raised for each in doubts) > 0
-    assert sum(each.told for each in doubts) == 0
+    assert sum(each.announced for each in doubts) == 0
 
 
 @when("that doubt is lifted")
@@ -81,8 +81,8 @@
 @when('peers tell first that a doubt about "{target}" is lifted, then that it is raised')
 def step_late(context, target):
     mark = mark_of(content_of(target, "any").scopes()[-1])
-    context.doubts.take(Doubt(7, mark, is_lifted=True))
-    context.doubts.take(Doubt(7, mark))
+    context.doubts.merge(Doubt(7, mark, is_lifted=True))
+    context.doubts.merge(Doubt(7, mark))
 
 
 @when("{duration_s:g} s pass for the table of doubts")
--- a/features/steps/gateway_quarantine_row_steps.py
+++ b/features/steps/gateway_quarantine_row_steps.py
@@ -10,7 +10,7 @@
 from indigoworks.ownership.control_group import CONTROL_TABLE, ControlGroup, part_of
 from indigoworks.quarantine.quarantine import Quarantine
 from indigoworks.quarantine.quarantine_rows import ROW_PREFIX, QuarantineRows
-from indigoworks.quarantine.suspect import HARM_LIMIT
+from indigoworks.quarantine.suspect import CRASH_LIMIT
 from indigoworks.rowstore.store_health import StoreHealth
 from indigoworks_lab.simulation.core.manual_clock import ManualClock
 
@@ -46,7 +46,7 @@
             clock,
             lambda: False,
         )
-        context.row_quarantine.on_verdict = rows.want
+        context.row_quarantine.on_status_change = rows.schedule_write
         context.row_task = asyncio.ensure_future(rows.run())
 
     context.run_async(make())
@@ -56,10 +56,10 @@
 def step_ends(context):
     async def run():
         quarantine, clock = context.row_quarantine, context.row_clock
-        for number in range(HARM_LIMIT):
+        for number in range(CRASH_LIMIT):
             await clock.advance(ENDS_S)
-            slots = quarantine.known_slots(content())
-            quarantine.note_crash(content(), "try", f"s{number}", clock.now(), slots)
+            windows = quarantine.known_windows(content())
+            quarantine.record_crash(content(), "try", f"s{number}", clock.now(), windows)
         await clock.advance(ENDS_S)
 
     context.run_async(run())
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -11,11 +11,11 @@
 from indigoworks.exchange.peer_report import PeerReport
 from indigoworks.exchange.report_codec import decode_report, encode_report
 from indigoworks.exchange.suspect_codec import to_message
-from indigoworks.quarantine.counted_ends import make_end
+from indigoworks.quarantine.crash_ids import make_crash_id
 from indigoworks.quarantine.quarantine import Quarantine
 from indigoworks.quarantine.request_content import RequestContent
 from indigoworks.quarantine.request_mark import RequestMark
-from indigoworks.quarantine.suspect import HARM_LIMIT, Suspect
+from indigoworks.quarantine.suspect import CRASH_LIMIT, Suspect
 from indigoworks_lab.simulation.core.manual_clock import ManualClock
 
 WORST = 30
@@ -36,7 +36,7 @@
     """As the product does: what is known before a try is sent comes before its end."""
     quarantine = context.quarantines[name]
     now_s = context.quarantine_clock.now()
-    quarantine.note_crash(what, "try", server, now_s, quarantine.known_slots(what))
+    quarantine.record_crash(what, "try", server, now_s, quarantine.known_windows(what))
 
 
 @when("gateway quarantine {name} sees {count:d} servers end under a request")
@@ -53,7 +53,7 @@
 
 @when('gateway quarantine {name} sees the request with "{query}" served')
 def step_query_served(context, name, query):
-    context.quarantines[name].note_served(content(query=query))
+    context.quarantines[name].record_served(content(query=query))
 
 
 @then('gateway quarantine {name} refuses the request with "{query}": {is_refused}')
@@ -64,23 +64,23 @@
 
 @when("gateway quarantine {name} sees the request served")
 def step_served(context, name):
-    context.quarantines[name].note_served(content())
+    context.quarantines[name].record_served(content())
 
 
 @when("{duration_s:g} s pass for gateway quarantines")
 def step_pass(context, duration_s):
     context.quarantine_clock._now_s += duration_s
     for each in context.quarantines.values():
-        each.tidy()
+        each.remove_expired()
 
 
 @when("gateway quarantine {name} tells {other}")
 def step_tells(context, name, other):
     """As a datagram, whole."""
     teller = context.quarantines[name]
-    teller.tell_again()
-    report = PeerReport(name, "b", 1, 0, 0.0, None, (), (), 0, suspects=teller.take_news())
-    context.quarantines[other].take_notes(decode_report(encode_report(report)).suspects)
+    teller.report_all_again()
+    report = PeerReport(name, "b", 1, 0, 0.0, None, (), (), 0, suspects=teller.next_report())
+    context.quarantines[other].merge_suspects(decode_report(encode_report(report)).suspects)
 
 
 @then("gateway quarantine {name} refuses the request: {is_refused}")
@@ -130,14 +130,14 @@
 @then("a report of gateway quarantine {name} names {count:d} requests at most, of {size:d} bytes")
 def step_told(context, name, count, size):
     for _ in range(100):
-        notes = context.quarantines[name].take_news()
+        notes = context.quarantines[name].next_report()
         assert len(notes) <= count, len(notes)
         assert all(to_message(each).ByteSize() <= size for each in notes), notes
 
 
 @then("gateway quarantines end with the same whatever they hear in which order")
 def step_merge_property(context):
-    ends = strategies.integers(0, 12).map(lambda slot: make_end(slot, f"server-{slot}"))
+    ends = strategies.integers(0, 12).map(lambda slot: make_crash_id(slot, f"server-{slot}"))
     ids = strategies.frozensets(ends, max_size=6)
     times = strategies.floats(0, 100)
     suspects = strategies.lists(
@@ -161,13 +161,13 @@
             random.shuffle(order)
             known = order[0]
             for each in order[1:]:
-                known = known.merged(each)
+                known = known.merged_with(each)
             results.add((known.generation, known.crashes, known.seen_s))
         assert len(results) == 1, results
         generation = max(each.generation for each in heard)
         union = frozenset().union(*(s.crashes for s in heard if s.generation == generation))
         (result,) = results
         assert result[0] == generation
-        assert result[1] <= union and len(result[1]) >= min(HARM_LIMIT, len(union)), result
+        assert result[1] <= union and len(result[1]) >= min(CRASH_LIMIT, len(union)), result
 
     check()
--- a/features/steps/placement_load_steps.py
+++ b/features/steps/placement_load_steps.py
@@ -4,10 +4,10 @@
 
 from behave import given, then, when
 
-from indigoworks.controller.placement.key_space_cut import cut_key_space
+from indigoworks.controller.placement.key_space_split import split_key_space
 from indigoworks.controller.placement.range_weights import RangeWeights
 from indigoworks.controller.placement.rebalance import next_move
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.controller.rebalancer import threshold_of
 from indigoworks.router.range_loads import RangeLoads
 from indigoworks.settings.placement_settings import PlacementSettings
@@ -28,7 +28,7 @@
 @given("placement of {ranges:d} ranges of equal width on {count:d} servers of {slots:d} slots")
 def equal_widths(context: Any, ranges: int, count: int, slots: int) -> None:
     context.servers = [Server(name=f"s{number}", slots=slots) for number in range(count)]
-    context.records = list(cut_key_space("catalogue", ranges))
+    context.records = list(split_key_space("catalogue", ranges))
     for number, record in enumerate(context.records):
         record.owner = f"s{number % count}"
 
@@ -44,7 +44,7 @@
 
 @then("placement by width moves nothing")
 def nothing_by_width(context: Any) -> None:
-    board = ServerBoard(context.servers, context.records)
+    board = ServerWeights(context.servers, context.records)
     assert next_move(board, context.records, THRESHOLD) is None
 
 
@@ -53,7 +53,7 @@
     weights = RangeWeights(context.records, context.loads)
     sources: list[str] = []
     for _ in range(MAX_MOVES):
-        board = ServerBoard(context.servers, context.records, weights)
+        board = ServerWeights(context.servers, context.records, weights)
         move = next_move(board, context.records, THRESHOLD)
         if move is None:
             break
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -72,7 +72,9 @@
         self.choice = BrokerSelector(
             own, lambda: not self.broker.is_stopping, directory, peers, clock
         )
-        self._doubts = DoubtBroadcaster(directory, peers, self._send_to, doubts.take, clock, random)
+        self._doubts = DoubtBroadcaster(
+            directory, peers, self._send_to, doubts.merge, clock, random
+        )
         doubts.on_doubt = self._doubts.broadcast
         self._local_requester = Requester(own.boot, self._handle_local_reply)
 
--- a/indigoworks/controller/control_state.py
+++ b/indigoworks/controller/control_state.py
@@ -88,10 +88,10 @@
 
     def ranges_of(self, server: Server) -> Sequence[RangeRecord]:
         """Return the ranges owned by this run of the server."""
-        owned = self.ranges_named(server.name)
+        owned = self.ranges_of_all_runs(server.name)
         return [each for each in owned if each.owner_incarnation == server.incarnation]
 
-    def ranges_named(self, server_name: str) -> Sequence[RangeRecord]:
+    def ranges_of_all_runs(self, server_name: str) -> Sequence[RangeRecord]:
         """Return the ranges owned by any run of a server; the same list until they change."""
         return self._ranges.of_owner(server_name)
 
--- a/indigoworks/controller/controller.py
+++ b/indigoworks/controller/controller.py
@@ -15,7 +15,7 @@
 from indigoworks.controller.controller_control_plane import ControllerControlPlane
 from indigoworks.controller.controller_metrics import ControllerMetrics
 from indigoworks.controller.controller_ports import ControllerPorts
-from indigoworks.controller.leader_duties import LeaderDuties
+from indigoworks.controller.leader_tasks import LeaderTasks
 from indigoworks.controller.router_registry import RouterRegistry
 from indigoworks.controller.router_reporter import RouterReporter
 from indigoworks.controller.view_publisher import ViewPublisher
@@ -48,13 +48,15 @@
         self._settings = settings
         self._ports = ports
         self._state = ReplicatedControlState(ports.clock)
-        self._duties: LeaderDuties | None = None
+        self._leader_tasks: LeaderTasks | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self.node = self._make_node()
         self._routers = RouterRegistry(ports.clock)
         self._views = ViewPublisher(self.node, self._state, self._routers, ports.clock)
         self._reporter = RouterReporter(self.member, self.node, self._routers, ports.clock)
-        plane = ControllerControlPlane(self.node, self._state, self._routers, lambda: self._duties)
+        plane = ControllerControlPlane(
+            self.node, self._state, self._routers, lambda: self._leader_tasks
+        )
         self.administration = ControllerAdministration(
             self.node, all_operations(plane), self.member
         )
@@ -124,7 +126,7 @@
     async def _lead_when_leader(self) -> None:
         while True:
             term = await self.node.wait_leadership()
-            self._duties = LeaderDuties(
+            self._leader_tasks = LeaderTasks(
                 self.node,
                 self._state,
                 self._ports,
@@ -133,9 +135,9 @@
                 self._routers,
             )
             try:
-                await self._duties.run()
+                await self._leader_tasks.run()
             finally:
-                self._duties = None
+                self._leader_tasks = None
 
     async def _handle_frame(self, frame: Frame) -> Frame:
         payload = frame.WhichOneof("payload")
--- a/indigoworks/controller/controller_control_plane.py
+++ b/indigoworks/controller/controller_control_plane.py
@@ -13,7 +13,7 @@
 from indigoworks.common.lease_bounds import VIEW_LEASE_LAPSE_S
 from indigoworks.common.ring.key_hash import key_hash
 from indigoworks.controller.control_state import ReplicatedControlState
-from indigoworks.controller.leader_duties import LeaderDuties
+from indigoworks.controller.leader_tasks import LeaderTasks
 from indigoworks.controller.retry_timing import LEADER_RETRY_AFTER_S
 from indigoworks.controller.router_registry import RouterRegistry
 from indigoworks.controllog.control_log_node import ControlLogNode
@@ -35,7 +35,7 @@
         node: ControlLogNode,
         state: ReplicatedControlState,
         routers: RouterRegistry,
-        duties: Callable[[], LeaderDuties | None],
+        leader_tasks: Callable[[], LeaderTasks | None],
     ) -> None:
         """Prepare.
 
@@ -44,7 +44,7 @@
         self._node = node
         self._state = state
         self._routers = routers
-        self._duties = duties
+        self._leader_tasks = leader_tasks
 
     def status(self) -> ControlPlaneStatus:
         """Return role and progress of this controller."""
@@ -77,7 +77,7 @@
 
     async def change_settings(self, change: SettingsChange) -> Result[SettingsAccepted, AdminError]:
         """Put a checked tree in force."""
-        duties = self._duties()
+        duties = self._leader_tasks()
         if duties is None:
             return Err(_not_leader())
         return await duties.settings.change(change)
--- a/indigoworks/controller/leader_duties.py
+++ b/indigoworks/controller/leader_tasks.py
@@ -7,7 +7,7 @@
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.controller_ports import ControllerPorts
 from indigoworks.controller.leadership import Leadership
-from indigoworks.controller.lease_keeper import LeaseKeeper
+from indigoworks.controller.lease_manager import LeaseManager
 from indigoworks.controller.ownership_manager import OwnershipManager
 from indigoworks.controller.router_registry import RouterRegistry
 from indigoworks.controller.server_discovery import ServerDiscovery
@@ -20,7 +20,7 @@
 """Time between two looks at whether this controller still leads."""
 
 
-class LeaderDuties:
+class LeaderTasks:
     """Leases, ownership, discovery and settings during one term of leadership."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self.leadership = Leadership(node, ports.clock, term)
         self._clock = ports.clock
         changed = asyncio.Event()
-        self._leases = LeaseKeeper(state, self.leadership, ports, changed)
+        self._leases = LeaseManager(state, self.leadership, ports, changed)
         table = SettingsTable(ports.table, group_id, ports.clock)
         self.settings = SettingsService(node, state, self.leadership, table, ports.clock)
         self._ownership = OwnershipManager(
--- a/indigoworks/controller/lease_keeper.py
+++ b/indigoworks/controller/lease_manager.py
@@ -23,7 +23,7 @@
 """States in which a server holds a lease."""
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Runs one lease task for each registered server, while this controller leads."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._followed_version: int | None = None
 
-    def follow_state(self) -> None:
+    def reconcile(self) -> None:
         """Start, stop and wake tasks so that they fit the replicated state."""
         if self._followed_version == self._state.version:
             return
@@ -55,7 +55,7 @@
         for position, server in enumerate(new):
             self._start_task(server, position * START_SPACING_S % RENEWAL_INTERVAL_S)
         for lease in self._leases.values():
-            lease.wake()
+            lease.wake_if_grants_changed()
 
     def close(self) -> None:
         """Stop all tasks."""
@@ -67,7 +67,7 @@
 
         They are not renewed again until they are registered anew.
         """
-        return [lease.server for lease in self._leases.values() if lease.give_up_if_lost()]
+        return [lease.server for lease in self._leases.values() if lease.mark_lost_if_expired()]
 
     def draining_servers(self) -> Sequence[Server]:
         """Return the servers that asked to be emptied."""
--- a/indigoworks/controller/lease_timing.py
+++ b/indigoworks/controller/lease_timing.py
@@ -14,7 +14,7 @@
 LEASE_LAPSE_S = lapse_of(BACKEND_LEASE_S)
 """Time on the controller's clock after which a lease of BACKEND_LEASE_S has surely lapsed."""
 
-FAILED_RENEWALS_OF_A_LOSS = 2
+FAILED_RENEWALS_BEFORE_LOSS = 2
 """Failed renewals in a row, besides the lapse, before a server is declared lost."""
 
 DISCOVERY_INTERVAL_S = 1.0
--- a/indigoworks/controller/new_service_cut.py
+++ b/indigoworks/controller/new_service_split.py
@@ -4,7 +4,7 @@
 
 from indigoworks.controller.ownership_context import OwnershipContext, change_command
 from indigoworks.controller.ownership_rules import spread
-from indigoworks.controller.placement.key_space_cut import cut_key_space
+from indigoworks.controller.placement.key_space_split import split_key_space
 from indigoworks.settings import SettingsResolver
 from indigoworks.wire.control_pb2 import Command
 
@@ -16,7 +16,7 @@
 """
 
 
-class NewServiceCut:
+class NewServiceSplit:
     """A rule of ownership: cuts a new service among its servers once they have gathered."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
             resolved = resolver.resolve(service)
             if resolved is None or not self._have_gathered(context, service):
                 continue
-            ranges = cut_key_space(service, resolved.placement.initial_ranges)
+            ranges = split_key_space(service, resolved.placement.initial_ranges)
             commands.append(change_command([], spread(context, service, ranges)))
         return commands
 
--- a/indigoworks/controller/ownership_context.py
+++ b/indigoworks/controller/ownership_context.py
@@ -6,9 +6,9 @@
 from indigoworks.common.clock import Clock
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.leadership import Leadership
-from indigoworks.controller.lease_keeper import LeaseKeeper
+from indigoworks.controller.lease_manager import LeaseManager
 from indigoworks.controller.placement.range_weights import RangeWeights
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.settings import SettingsTree
 from indigoworks.wire.control_pb2 import (
     SERVER_STATE_LIVE,
@@ -31,7 +31,7 @@
     """
 
     state: ReplicatedControlState
-    leases: LeaseKeeper
+    leases: LeaseManager
     leadership: Leadership
     tree: SettingsTree
     clock: Clock
@@ -45,19 +45,21 @@
             if server.state == SERVER_STATE_LIVE and self.leases.is_answering(server)
         ]
 
-    def board(self, service: str) -> ServerBoard:
+    def server_weights(self, service: str) -> ServerWeights:
         """Return the load of the servers that may get ranges of `service`."""
-        return self.board_of(self.candidates(service), self.state.ranges(service))
+        return self.server_weights_of(self.candidates(service), self.state.ranges(service))
 
-    def board_of(self, servers: Sequence[Server], records: Sequence[RangeRecord]) -> ServerBoard:
+    def server_weights_of(
+        self, servers: Sequence[Server], records: Sequence[RangeRecord]
+    ) -> ServerWeights:
         """Return the load that `records` put on `servers`."""
-        return ServerBoard(servers, records, RangeWeights(records, self.loads))
+        return ServerWeights(servers, records, RangeWeights(records, self.loads))
 
     def is_current(self, record: RangeRecord) -> bool:
         """Tell whether the record was granted in this generation."""
         return record.generation == self.leadership.generation
 
-    def given_to(self, record: RangeRecord, server: Server | None) -> RangeRecord:
+    def granted_to(self, record: RangeRecord, server: Server | None) -> RangeRecord:
         """Return the record under a new grant to `server`, or owned by nobody."""
         return RangeRecord(
             service=record.service,
@@ -68,7 +70,7 @@
             generation=self.leadership.generation,
         )
 
-    def releasing(self, record: RangeRecord, next_owner: str) -> RangeRecord:
+    def with_next_owner(self, record: RangeRecord, next_owner: str) -> RangeRecord:
         """Return the record with its owner asked to release it to `next_owner`."""
         changed = RangeRecord()
         changed.CopyFrom(record)
--- a/indigoworks/controller/ownership_manager.py
+++ b/indigoworks/controller/ownership_manager.py
@@ -7,18 +7,18 @@
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.controller_ports import ControllerPorts
 from indigoworks.controller.leadership import Leadership
-from indigoworks.controller.lease_keeper import LeaseKeeper
-from indigoworks.controller.new_service_cut import NewServiceCut
+from indigoworks.controller.lease_manager import LeaseManager
+from indigoworks.controller.new_service_split import NewServiceSplit
 from indigoworks.controller.ownership_context import OwnershipContext
 from indigoworks.controller.ownership_rules import (
     OwnershipRule,
     assign_unowned_ranges,
-    cut_out_hot_keys,
     empty_leaving_servers,
     finish_handovers,
     mark_draining_servers,
+    reassign_ranges_of_lost_servers,
     renew_grants_of_earlier_generations,
-    take_from_lost_servers,
+    split_out_hot_keys,
 )
 from indigoworks.controller.rebalancer import Rebalancer
 from indigoworks.controller.router_registry import RouterRegistry
@@ -42,7 +42,7 @@
         node: ControlLogNode,
         state: ReplicatedControlState,
         leadership: Leadership,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         ports: ControllerPorts,
         changed: asyncio.Event,
         routers: RouterRegistry,
@@ -56,14 +56,14 @@
         self._changed = changed
         self._trees = TreeCache()
         self._rules: tuple[OwnershipRule, ...] = (
-            take_from_lost_servers,
+            reassign_ranges_of_lost_servers,
             renew_grants_of_earlier_generations,
             finish_handovers,
             mark_draining_servers,
             empty_leaving_servers,
-            NewServiceCut(),
+            NewServiceSplit(),
             assign_unowned_ranges,
-            cut_out_hot_keys,
+            split_out_hot_keys,
             Rebalancer(),
         )
 
@@ -72,9 +72,9 @@
         while True:
             self._changed.clear()
             if self._leadership.may_grant():
-                self._leases.follow_state()
+                self._leases.reconcile()
                 await self._apply_rules()
-                self._leases.follow_state()
+                self._leases.reconcile()
             await self._wait_for_change()
 
     async def _wait_for_change(self) -> None:
@@ -109,4 +109,4 @@
             index=proposed.unwrap_or(0),
             is_committed=proposed.is_ok(),
         )
-        self._leases.follow_state()
+        self._leases.reconcile()
--- a/indigoworks/controller/ownership_rules.py
+++ b/indigoworks/controller/ownership_rules.py
@@ -12,8 +12,8 @@
     OwnershipContext,
     change_command,
 )
-from indigoworks.controller.placement.key_space_cut import cut_out_place
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.key_space_split import split_out_position
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.wire.control_pb2 import (
     SERVER_STATE_LEAVING,
     SERVER_STATE_LIVE,
@@ -31,14 +31,14 @@
 """A leaving server starts to release a quarter of its ranges in each round of the rules."""
 
 
-def take_from_lost_servers(context: OwnershipContext) -> Sequence[Command]:
+def reassign_ranges_of_lost_servers(context: OwnershipContext) -> Sequence[Command]:
     """Give the ranges of lost servers to others. Their leases have surely lapsed.
 
     All losses are planned together: servers that are lost with a zone must neither inherit each
     other's ranges nor have them all land on the same lightest server.
     """
     lost = context.leases.lost_servers()
-    records = [each for server in lost for each in context.state.ranges_named(server.name)]
+    records = [each for server in lost for each in context.state.ranges_of_all_runs(server.name)]
     commands = list(_reassign(context, records, {server.name for server in lost}))
     commands += [_state_command(server, SERVER_STATE_LOST) for server in lost]
     return commands
@@ -82,7 +82,7 @@
     released = [each for each in releasing if context.leases.has_released(each)]
     commands: list[Command] = []
     for records in _by_service(released):
-        board = context.board(records[0].service)
+        board = context.server_weights(records[0].service)
         replacement = [_handed_over(context, board, record) for record in records]
         commands.append(change_command(records, replacement))
     return commands
@@ -101,7 +101,7 @@
     return commands
 
 
-def cut_out_hot_keys(context: OwnershipContext) -> Sequence[Command]:
+def split_out_hot_keys(context: OwnershipContext) -> Sequence[Command]:
     """Give keys that the tree marks with `own_range` a range of their own."""
     for service, settings in sorted(context.tree.services.items()):
         for key, leaf in sorted(settings.keys.items()):
@@ -112,7 +112,7 @@
             if record is None or record.start == record.end:
                 continue
             # One at a time: the next round sees the ranges that this cut makes.
-            return [change_command([record], cut_out_place(record, place))]
+            return [change_command([record], split_out_position(record, place))]
     return []
 
 
@@ -128,14 +128,14 @@
             target = _planned_owner(context, record, excluded) or board.lightest()
             if target is not None:
                 board.add(target.name, record)
-            replacement.append(context.given_to(record, target))
+            replacement.append(context.granted_to(record, target))
         commands.append(change_command(group, replacement))
     return commands
 
 
-def _board_without(context: OwnershipContext, service: str, excluded: set[str]) -> ServerBoard:
+def _board_without(context: OwnershipContext, service: str, excluded: set[str]) -> ServerWeights:
     candidates = [each for each in context.candidates(service) if each.name not in excluded]
-    return context.board_of(candidates, context.state.ranges(service))
+    return context.server_weights_of(candidates, context.state.ranges(service))
 
 
 def _planned_owner(
@@ -151,31 +151,33 @@
     owner = context.live_server(record.owner) if record.owner else None
     if owner is not None and owner.incarnation != record.owner_incarnation:
         owner = None
-    return context.given_to(record, owner)
+    return context.granted_to(record, owner)
 
 
 def spread(
     context: OwnershipContext, service: str, records: Iterable[RangeRecord]
 ) -> Sequence[RangeRecord]:
     """Return `records` granted to the lightest servers of the service."""
-    board = context.board(service)
+    board = context.server_weights(service)
     granted = []
     for record in records:
         target = board.lightest()
         if target is not None:
             board.add(target.name, record)
-        granted.append(context.given_to(record, target))
+        granted.append(context.granted_to(record, target))
     return granted
 
 
-def _handed_over(context: OwnershipContext, board: ServerBoard, record: RangeRecord) -> RangeRecord:
+def _handed_over(
+    context: OwnershipContext, board: ServerWeights, record: RangeRecord
+) -> RangeRecord:
     target = context.live_server(record.next_owner)
     if target is None:
         # The planned owner has gone since; the range is free, so any server may have it.
         target = board.lightest()
         if target is not None:
             board.add(target.name, record)
-    return context.given_to(record, target)
+    return context.granted_to(record, target)
 
 
 def _start_release(
@@ -183,13 +185,15 @@
 ) -> Sequence[Command]:
     if not records:
         return []
-    board = context.board(service)
+    board = context.server_weights(service)
     replacement = []
     for record in records:
         target = board.lightest()
         if target is not None:
             board.add(target.name, record)
-        replacement.append(context.releasing(record, target.name if target else NO_NEXT_OWNER))
+        replacement.append(
+            context.with_next_owner(record, target.name if target else NO_NEXT_OWNER)
+        )
     return [change_command(records, replacement)]
 
 
--- a/indigoworks/controller/placement/key_space_cut.py
+++ b/indigoworks/controller/placement/key_space_split.py
@@ -6,7 +6,7 @@
 from indigoworks.wire.control_pb2 import RangeRecord
 
 
-def cut_key_space(service: str, count: int) -> Sequence[RangeRecord]:
+def split_key_space(service: str, count: int) -> Sequence[RangeRecord]:
     """Return `count` adjacent ranges of equal width that nobody owns and that cover the space."""
     size = KEY_SPACE_MAX + 1
     starts = [size * position // count for position in range(count)]
@@ -17,12 +17,12 @@
     ]
 
 
-def cut_out_place(record: RangeRecord, place: int) -> Sequence[RangeRecord]:
+def split_out_position(record: RangeRecord, position: int) -> Sequence[RangeRecord]:
     """Return the parts of `record` with a range of its own for `place`.
 
     Owner and token stay, so requests sent under the uncut range stay valid.
     """
-    bounds = [(record.start, place - 1), (place, place), (place + 1, record.end)]
+    bounds = [(record.start, position - 1), (position, position), (position + 1, record.end)]
     return [_part(record, start, end) for start, end in bounds if start <= end]
 
 
--- a/indigoworks/controller/placement/move_budget.py
+++ b/indigoworks/controller/placement/move_budget.py
@@ -16,7 +16,7 @@
         self._available = self._capacity
         self._filled_at_s = now_s
 
-    def take(self, now_s: float) -> bool:
+    def try_consume(self, now_s: float) -> bool:
         """Take one move, if one is available."""
         elapsed = now_s - self._filled_at_s
         self._available = min(self._capacity, self._available + elapsed * self._rate)
--- a/indigoworks/controller/placement/rebalance.py
+++ b/indigoworks/controller/placement/rebalance.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from indigoworks.controller.placement.range_width import range_width
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.wire.control_pb2 import RangeRecord
 
 MIN_GAIN = 0.01
@@ -11,7 +11,7 @@
 
 
 def next_move(
-    board: ServerBoard, records: Sequence[RangeRecord], threshold: float
+    weights: ServerWeights, records: Sequence[RangeRecord], threshold: float
 ) -> tuple[RangeRecord, str] | None:
     """Return the most useful move, as the range and the name of its new owner.
 
@@ -20,13 +20,13 @@
         churn (hysteresis).
     :returns: None when the balance is good enough or no move would better it.
     """
-    heaviest = board.heaviest()
-    lightest = board.lightest()
-    mean = board.mean_density()
+    heaviest = weights.heaviest()
+    lightest = weights.lightest()
+    mean = weights.mean_density()
     if heaviest is None or lightest is None or mean == 0:
         return None
-    is_uneven = board.density(heaviest.name) / mean > threshold
-    has_starving = board.density(lightest.name) * threshold < mean
+    is_uneven = weights.density(heaviest.name) / mean > threshold
+    has_starving = weights.density(lightest.name) * threshold < mean
     if not is_uneven and not has_starving:
         return None
     movable = [each for each in records if each.owner == heaviest.name and not each.next_owner]
@@ -34,13 +34,13 @@
     best_rank = (MIN_GAIN * mean, 0)
     for record in movable:
         # Of moves that gain the same, the narrower range takes fewer keys away.
-        rank = (_gain(board, record, heaviest.name, lightest.name), -range_width(record))
+        rank = (_gain(weights, record, heaviest.name, lightest.name), -range_width(record))
         if rank > best_rank:
             best, best_rank = record, rank
     return (best, lightest.name) if best is not None else None
 
 
-def _gain(board: ServerBoard, record: RangeRecord, source: str, target: str) -> float:
+def _gain(board: ServerWeights, record: RangeRecord, source: str, target: str) -> float:
     """Return by how much the move lowers the larger of the two densities."""
     before = max(board.density(source), board.density(target))
     board.remove(source, record)
--- a/indigoworks/controller/placement/rebalance_look.py
+++ b/indigoworks/controller/placement/rebalance_inputs.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class RebalanceLook:
+class RebalanceInputs:
     """The facts that one look at a service's balance uses.
 
     Two looks are the same when they hold the very same objects: the state keeps its lists and
@@ -22,7 +22,7 @@
     candidates: tuple[Server, ...]
     threshold: float
 
-    def is_same_as(self, other: "RebalanceLook") -> bool:
+    def is_same_as(self, other: "RebalanceInputs") -> bool:
         """Tell whether the other look comes to the same end."""
         if self.threshold != other.threshold:
             return False
--- a/indigoworks/controller/placement/server_board.py
+++ b/indigoworks/controller/placement/server_weights.py
@@ -9,7 +9,7 @@
 """Slots counted for a server that reported none."""
 
 
-class ServerBoard:
+class ServerWeights:
     """Weight per slot of the servers that may own ranges of one service.
 
     Ranges on their way to a server count for it already.
--- a/indigoworks/controller/rebalancer.py
+++ b/indigoworks/controller/rebalancer.py
@@ -6,8 +6,8 @@
 from indigoworks.controller.placement.move_budget import MoveBudget
 from indigoworks.controller.placement.range_weights import RangeWeights
 from indigoworks.controller.placement.rebalance import next_move
-from indigoworks.controller.placement.rebalance_look import RebalanceLook
-from indigoworks.controller.placement.server_board import ServerBoard
+from indigoworks.controller.placement.rebalance_inputs import RebalanceInputs
+from indigoworks.controller.placement.server_weights import ServerWeights
 from indigoworks.settings import SettingsResolver
 from indigoworks.settings.placement_settings import PlacementSettings
 from indigoworks.wire.control_pb2 import Command, RangeRecord, Server
@@ -34,7 +34,7 @@
         self._budgets: dict[str, MoveBudget] = {}
         self._rates: dict[str, float] = {}
         self._uneven_since_s: dict[str, float] = {}
-        self._even_looks: dict[str, RebalanceLook] = {}
+        self._even_looks: dict[str, RebalanceInputs] = {}
 
     def __call__(self, context: OwnershipContext) -> Sequence[Command]:
         """Return the commands that start moves; a rule of ownership."""
@@ -53,14 +53,14 @@
         candidates = tuple(context.candidates(service))
         weights = RangeWeights(records, context.loads)
         threshold = threshold_of(placement, weights, candidates)
-        look = RebalanceLook(records, candidates, threshold)
+        look = RebalanceInputs(records, candidates, threshold)
         even = self._even_looks.get(service)
         # Measured loads change all the time, so an earlier look says nothing about them.
         if even is not None and not weights.is_by_load and look.is_same_as(even):
             return []
         if any(record.next_owner or not record.owner for record in records):
             return []
-        board = ServerBoard(candidates, records, weights)
+        board = ServerWeights(candidates, records, weights)
         if next_move(board, records, threshold) is None:
             self._even_looks[service] = look
             self._uneven_since_s.pop(service, None)
@@ -81,12 +81,12 @@
         budget = self._budget(context, service, placement)
         commands: list[Command] = []
         for _ in range(MAX_MOVES_AT_ONCE):
-            board = ServerBoard(context.candidates(service), records, weights)
+            board = ServerWeights(context.candidates(service), records, weights)
             move = next_move(board, records, threshold)
-            if move is None or not budget.take(context.clock.now()):
+            if move is None or not budget.try_consume(context.clock.now()):
                 break
             record, target = move
-            moving = context.releasing(record, target)
+            moving = context.with_next_owner(record, target)
             commands.append(change_command([record], [moving]))
             # The next move is chosen as if this one had ended.
             records[records.index(record)] = moving
--- a/indigoworks/controller/server_discovery.py
+++ b/indigoworks/controller/server_discovery.py
@@ -10,7 +10,7 @@
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.controller_ports import ControllerPorts
 from indigoworks.controller.leadership import Leadership
-from indigoworks.controller.lease_keeper import LEASED_STATES
+from indigoworks.controller.lease_manager import LEASED_STATES
 from indigoworks.controller.lease_timing import DISCOVERY_INTERVAL_S, RENEWAL_TIMEOUT_S
 from indigoworks.controllog.control_log_node import ControlLogNode
 from indigoworks.platform.machine_record import MachineRecord
@@ -83,7 +83,7 @@
         server = self._state.server(machine.name)
         if server is None:
             return True
-        return server.state not in LEASED_STATES and not self._state.ranges_named(server.name)
+        return server.state not in LEASED_STATES and not self._state.ranges_of_all_runs(server.name)
 
     async def _register(self, machine: MachineRecord) -> None:
         address = Address(machine.host, machine.port)
--- a/indigoworks/controller/server_lease_task.py
+++ b/indigoworks/controller/server_lease_task.py
@@ -15,7 +15,7 @@
 from indigoworks.controller.controller_ports import ControllerPorts
 from indigoworks.controller.leadership import Leadership
 from indigoworks.controller.lease_timing import (
-    FAILED_RENEWALS_OF_A_LOSS,
+    FAILED_RENEWALS_BEFORE_LOSS,
     RENEWAL_INTERVAL_S,
     RENEWAL_TIMEOUT_S,
 )
@@ -55,7 +55,7 @@
         self._address = Address(server.host, server.port)
         self._lease = ServerLease(leadership.earlier_leases_lapse_at_s)
         self._failures = 0
-        self._is_given_up = False
+        self._is_lost = False
         self._wake = asyncio.Event()
         self._owned: Sequence[RangeRecord] | None = None
         self._wanted: tuple[GrantedRange, ...] = ()
@@ -72,26 +72,26 @@
                 await self._renew_once()
             await self._wait_for_turn()
 
-    def wake(self) -> None:
+    def wake_if_grants_changed(self) -> None:
         """Renew now if the grants have changed."""
         if self._sent_ranges != self._wanted_ranges():
             self._wake.set()
 
-    def give_up_if_lost(self) -> bool:
+    def mark_lost_if_expired(self) -> bool:
         """Tell whether the server is lost: it does not answer and its lease has surely lapsed.
 
         From then on it is never renewed again. Its ranges are given away by a command that takes
         time to commit; a renewal that got through meanwhile would leave two owners.
         """
-        is_silent = self._failures >= FAILED_RENEWALS_OF_A_LOSS
+        is_silent = self._failures >= FAILED_RENEWALS_BEFORE_LOSS
         if is_silent and self._lease.has_lapsed(self._ports.clock.now()):
-            self._is_given_up = True
-        return self._is_given_up
+            self._is_lost = True
+        return self._is_lost
 
     @property
     def is_answering(self) -> bool:
         """Tell whether the newest call was answered."""
-        return self._lease.has_reading and self._failures == 0 and not self._is_given_up
+        return self._lease.has_reading and self._failures == 0 and not self._is_lost
 
     async def _wait_for_turn(self) -> None:
         # A timeout costs a tenth of a renewal less than two tasks of which one wins.
@@ -102,7 +102,7 @@
             return
 
     async def _renew_once(self) -> None:
-        if self._is_given_up:
+        if self._is_lost:
             return
         if self._lease.has_reading and not self._must_lapse():
             renewal = self._next_renewal()
@@ -141,7 +141,7 @@
         )
 
     def _wanted_ranges(self) -> tuple[GrantedRange, ...]:
-        owned = self._state.ranges_named(self.server.name)
+        owned = self._state.ranges_of_all_runs(self.server.name)
         # The state keeps the list until one of its ranges changes.
         if owned is not self._owned:
             self._owned = owned
--- a/indigoworks/controller/view_messages.py
+++ b/indigoworks/controller/view_message_cache.py
@@ -9,7 +9,7 @@
 """Services wanted; empty for all."""
 
 
-class ViewMessages:
+class ViewMessageCache:
     """Keeps the messages of the newest version: a change concerns every router at once."""
 
     def __init__(self, state: ReplicatedControlState) -> None:
--- a/indigoworks/controller/view_publisher.py
+++ b/indigoworks/controller/view_publisher.py
@@ -5,7 +5,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.router_registry import RouterRegistry
-from indigoworks.controller.view_messages import ViewMessages
+from indigoworks.controller.view_message_cache import ViewMessageCache
 from indigoworks.controllog.control_log_node import ControlLogNode
 from indigoworks.wire.control_pb2 import ErrorReply, Frame, ViewReply, ViewRequest
 
@@ -38,7 +38,7 @@
         self._state = state
         self._routers = routers
         self._clock = clock
-        self._messages = ViewMessages(state)
+        self._messages = ViewMessageCache(state)
         self._snapshot_turn = asyncio.Lock()
 
     async def handle(self, request: ViewRequest) -> Frame:
--- a/indigoworks/gateway/crash_attribution.py
+++ b/indigoworks/gateway/crash_attribution.py
@@ -8,7 +8,7 @@
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 from indigoworks.gateway.request_state import RequestState
 from indigoworks.gateway.server_response import ExchangeResult, ServerResponse
-from indigoworks.quarantine.counted_ends import NO_SLOT
+from indigoworks.quarantine.crash_ids import NO_WINDOW
 from indigoworks.quarantine.doubt import Doubt
 from indigoworks.quarantine.doubt_table import DoubtTable
 from indigoworks.quarantine.quarantine import Quarantine
@@ -71,16 +71,16 @@
         state.known_end_slots = ()
         state.doubts = frozenset()
         if self._quarantine.has_suspects():
-            state.known_end_slots = self._quarantine.known_slots(self._content(state.request))
+            state.known_end_slots = self._quarantine.known_windows(self._content(state.request))
         if self._doubts.has_any():
             state.doubts = self._doubts.open_numbers(self._content(state.request))
-            state.doubted_slot = self._quarantine.slot_of(self._clock.now())
+            state.doubted_slot = self._quarantine.window_of(self._clock.now())
 
     def note(self, state: RequestState, server: ServerRecord, answer: ServerResponse) -> None:
         """Take how a request left a server; `may_repeat` knows what came of it."""
         if answer.result is ExchangeResult.ANSWERED:
             if not answer.is_not_run:
-                self._quarantine.note_served(self._content(state.request))
+                self._quarantine.record_served(self._content(state.request))
         elif answer.was_sent:
             judging = self._judge(state, server, answer, self._clock.now(), state.known_end_slots)
             state.judgement = asyncio.ensure_future(judging)
@@ -135,20 +135,20 @@
         if self._doubts.has_open(state.doubts):
             # Word of the end that was a sign only when this try was sent is still on its way.
             known_slots = self._with_doubted(content, known_slots, state.doubted_slot)
-        self._quarantine.note_crash(content, request_id, server.server_id, lost_s, known_slots)
+        self._quarantine.record_crash(content, request_id, server.server_id, lost_s, known_slots)
 
     async def _tell_unless_lives(self, doubt: Doubt, judging: "asyncio.Future[bool]") -> None:
         """Tell the peers of a doubt as soon as the server has ended, or does not take a connection
         at once."""
         done, _ = await asyncio.wait({judging}, timeout=TELL_AFTER_S)
         if not done or judging.result():
-            self._doubts.tell(doubt)
+            self._doubts.announce(doubt)
 
     def _with_doubted(
         self, content: RequestContent, known_slots: tuple[int, ...], doubted_slot: int
     ) -> tuple[int, ...]:
         """Return the slots of known ends, and of the one that was a sign only."""
-        known = known_slots or (NO_SLOT,) * len(content.scopes())
+        known = known_slots or (NO_WINDOW,) * len(content.scopes())
         return tuple(max(each, doubted_slot) for each in known)
 
     async def _has_ended(self, server: ServerRecord, lost_s: float) -> bool:
--- a/indigoworks/gateway/gateway.py
+++ b/indigoworks/gateway/gateway.py
@@ -274,7 +274,7 @@
         self._control.use_board(self._requests.board)
         self._control.send_report_now = self._exchange.sender.send_soon
         telling = CoalescedCall(self._exchange.sender.send_soon)
-        self._requests.quarantine.on_news = telling.ask
+        self._requests.quarantine.on_unreported = telling.ask
         self._requests.on_notice = telling.ask
         self._control.on_rows = self._requests.take_rows
         self._control.owners_changed = self._requests.queue.capacity_changed
--- a/indigoworks/gateway/gateway_reports.py
+++ b/indigoworks/gateway/gateway_reports.py
@@ -40,7 +40,7 @@
 
     def _has_news(self) -> bool:
         is_changed = self._requests.board.loads() != self._reported_loads
-        has_notes = self._requests.quarantine.has_news() or self._requests.notices.has_any()
+        has_notes = self._requests.quarantine.has_unreported() or self._requests.notices.has_any()
         return is_changed or has_notes or self._requests.sampler.has_samples()
 
     def _make(self) -> PeerReport:
@@ -63,11 +63,11 @@
             configuration_version=self._control.configuration_version(),
             group_version=self._control.group_version,
             operator_row_version=self._platform.operator_row_version,
-            suspects=self._requests.quarantine.take_news(),
+            suspects=self._requests.quarantine.next_report(),
             notices=self._requests.notices.notes(),
         )
 
     def _take(self, report: PeerReport) -> None:
-        self._requests.quarantine.take_notes(report.suspects)
+        self._requests.quarantine.merge_suspects(report.suspects)
         self._requests.notices.take(report.notices)
         self._control.take_report(report)
--- a/indigoworks/gateway/request_state.py
+++ b/indigoworks/gateway/request_state.py
@@ -4,7 +4,7 @@
 
 from indigoworks.gateway.client_request import ClientRequest
 from indigoworks.gateway.waiting_request import WaitingRequest
-from indigoworks.quarantine.counted_ends import NO_SLOT
+from indigoworks.quarantine.crash_ids import NO_WINDOW
 from indigoworks.routes.route import Route
 from indigoworks.routes.service import Service
 from indigoworks.routes.share import Share
@@ -53,7 +53,7 @@
         self.servers_ended = 0
         self.known_end_slots: tuple[int, ...] = ()
         self.doubts: frozenset[int] = frozenset()
-        self.doubted_slot = NO_SLOT
+        self.doubted_slot = NO_WINDOW
         self.is_served = False
         self.judgement: asyncio.Task[None] | None = None
         self._not_sent = 0
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -146,14 +146,14 @@
             clock,
             self._cuts.is_cut,
         )
-        peers.on_heard = self.quarantine.tell_again
-        self.quarantine.on_verdict = self._quarantine_rows.want
-        self.quarantine.on_refusal = self._quarantine_rows.note_refusal
-        self.quarantine.on_crash = self._quarantine_rows.note_crash
+        peers.on_heard = self.quarantine.report_all_again
+        self.quarantine.on_status_change = self._quarantine_rows.schedule_write
+        self.quarantine.on_refusal = self._quarantine_rows.handle_refusal
+        self.quarantine.on_crash = self._quarantine_rows.handle_crash
         self._harm = CrashAttribution(
             self.quarantine, self.doubts, self._watch, platform.servers, clock
         )
-        self.doubts.on_free = self._open_lock
+        self.doubts.on_last_lifted = self._open_lock
         refusals = ConfigurationRefusals(platform.configurations, answers, log, clock)
         flow = RequestPipeline(
             RequestRouting(platform.configurations, refusals, clock),
@@ -208,7 +208,7 @@
     def take_rows(self, rows: Sequence[Row]) -> None:
         """Take rows of the group, which the directory has taken already."""
         self._cuts.take_rows(rows)
-        self._quarantine_rows.take_rows(rows)
+        self._quarantine_rows.apply_rows(rows)
         self._stored_locks.apply_rows(rows)
 
     def use_settings(self, settings: GatewaySettings) -> None:
@@ -220,7 +220,7 @@
     def tidy(self) -> None:
         """Close connections that rested too long, and forget servers that left."""
         self.front.close_rested()
-        self.quarantine.tidy()
+        self.quarantine.remove_expired()
         self.sender.drop_old()
         self._servers.forget_old()
         self._servers.notices.rests.drop_ended()
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -116,7 +116,7 @@
             "gateway_doubts",
             "Connections that broke off under a request here",
             ("state",),
-            lambda: {("raised",): doubts.raised, ("told",): doubts.told},
+            lambda: {("raised",): doubts.raised, ("told",): doubts.announced},
         )
 
     def _add_notices(self, metrics: Metrics) -> None:
--- a/indigoworks/quarantine/doubt_table.py
+++ b/indigoworks/quarantine/doubt_table.py
@@ -37,13 +37,13 @@
         self._random = random
         self._until_s: deque[tuple[float, int]] = deque()
         self._doubts: dict[int, Doubt] = {}
-        self._told: set[int] = set()
+        self._announced: set[int] = set()
         self.raised = 0
-        self.told = 0
+        self.announced = 0
         self._open: dict[RequestMark, set[int]] = {}
         self._heads: dict[int, int] = {}
         self.on_doubt: Callable[[Doubt], None] = _ignore_doubt
-        self.on_free: Callable[[RequestMark], None] = _ignore_mark
+        self.on_last_lifted: Callable[[RequestMark], None] = _ignore_mark
 
     def has_any(self) -> bool:
         """Tell whether there is anything to compare requests with."""
@@ -77,24 +77,24 @@
         """Doubt a request under which a connection broke off here."""
         doubt = Doubt(self._random.getrandbits(NUMBER_BITS), mark_of(content.scopes()[-1]))
         self.raised += 1
-        self.take(doubt)
+        self.merge(doubt)
         return doubt
 
-    def tell(self, doubt: Doubt) -> None:
+    def announce(self, doubt: Doubt) -> None:
         """Let the peers know of a doubt of this gateway."""
         if doubt.number in self._doubts:
-            self._told.add(doubt.number)
-            self.told += 1
+            self._announced.add(doubt.number)
+            self.announced += 1
             self.on_doubt(doubt)
 
     def lift(self, doubt: Doubt) -> None:
         """Take a doubt of this gateway back: the server lives."""
         lifted = Doubt(doubt.number, doubt.mark, is_lifted=True)
-        self.take(lifted)
-        if doubt.number in self._told:
+        self.merge(lifted)
+        if doubt.number in self._announced:
             self.on_doubt(lifted)
 
-    def take(self, doubt: Doubt) -> None:
+    def merge(self, doubt: Doubt) -> None:
         """Take a doubt, or word that it is lifted: these come in any order, any number of times."""
         self._drop_old()
         known = self._doubts.get(doubt.number)
@@ -108,7 +108,7 @@
         if not doubt.is_lifted:
             self._begin(doubt)
         elif known is not None and self._end(known):
-            self.on_free(doubt.mark)
+            self.on_last_lifted(doubt.mark)
 
     def _begin(self, doubt: Doubt) -> None:
         head = doubt.mark.head
@@ -135,7 +135,7 @@
         while self._until_s and self._until_s[0][0] <= now_s:
             _, number = self._until_s.popleft()
             doubt = self._doubts.pop(number)
-            self._told.discard(number)
+            self._announced.discard(number)
             if not doubt.is_lifted:
                 self._end(doubt)
 
--- a/indigoworks/quarantine/quarantine.py
+++ b/indigoworks/quarantine/quarantine.py
@@ -7,19 +7,19 @@
 
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.suspect_note import SuspectNote
-from indigoworks.quarantine.counted_ends import (
-    NO_SLOT,
-    last_slot,
-    make_caller_end,
-    make_shared_end,
-    slot_of,
+from indigoworks.quarantine.crash_ids import (
+    NO_WINDOW,
+    last_window,
+    make_caller_crash_id,
+    make_shared_crash_id,
+    window_of,
 )
 from indigoworks.quarantine.request_content import RequestContent
 from indigoworks.quarantine.request_mark import RequestMark, mark_of
 from indigoworks.quarantine.served_requests import ServedRequests
 from indigoworks.quarantine.suspect import Suspect
-from indigoworks.quarantine.suspect_news import SuspectNews
-from indigoworks.quarantine.suspect_table import MAX_SUSPECTS, MEMORY_S, SuspectTable
+from indigoworks.quarantine.suspect_report_queue import SuspectReportQueue
+from indigoworks.quarantine.suspect_table import MAX_SUSPECTS, RETENTION_S, SuspectTable
 
 MAX_LOGGED_TARGET = 80
 """Characters of a path and query that a line names."""
@@ -53,13 +53,13 @@
         self._common_s = common_s
         self._table = SuspectTable(clock)
         self._served = ServedRequests()
-        self._news = SuspectNews(self._table, clock)
+        self._news = SuspectReportQueue(self._table, clock)
         self._refusals: dict[RequestMark, int] = {}
         self._own_crashes: deque[int] = deque(maxlen=2 * MAX_SUSPECTS)
         self.refused = 0
         self.refused_innocents = 0
-        self.on_news: Callable[[], None] = _nothing
-        self.on_verdict: Callable[[Suspect], None] = _ignore
+        self.on_unreported: Callable[[], None] = _nothing
+        self.on_status_change: Callable[[Suspect], None] = _ignore
         self.on_refusal: Callable[[Suspect], None] = _ignore
         self.on_crash: Callable[[Suspect], None] = _ignore
 
@@ -82,9 +82,9 @@
         now_s = self._clock.now()
         for scope in content.scopes():
             known = self._table.find(scope)
-            if known is not None and known.is_refused and not known.is_tried_anew(now_s):
+            if known is not None and known.is_refused and not known.may_be_retried(now_s):
                 self._note_refusal(known)
-                return known.refused_left_s(now_s) if known.is_shared else MEMORY_S
+                return known.remaining_refusal_s(now_s) if known.is_shared else RETENTION_S
         return 0.0
 
     def suspect_mark(self, content: RequestContent) -> RequestMark | None:
@@ -93,17 +93,17 @@
         known = self._table.find(content.scopes()[-1])
         return known.mark if known is not None and known.crashes else None
 
-    def slot_of(self, at_s: float) -> int:
+    def window_of(self, at_s: float) -> int:
         """Return the slot of a reading of the clock."""
-        return slot_of(self._common_s(at_s))
+        return window_of(self._common_s(at_s))
 
-    def known_slots(self, content: RequestContent) -> tuple[int, ...]:
+    def known_windows(self, content: RequestContent) -> tuple[int, ...]:
         """Return the slots of the last ends that are known of a request, one for each of its
         scopes; NO_SLOT: there is none since it was served last."""
         found = (self._table.find(scope) for scope in content.scopes())
-        return tuple(NO_SLOT if each is None else last_slot(each.crashes) for each in found)
+        return tuple(NO_WINDOW if each is None else last_window(each.crashes) for each in found)
 
-    def note_served(self, content: RequestContent) -> None:
+    def record_served(self, content: RequestContent) -> None:
         """Note that a server ran a request and lives."""
         now_s = self._clock.now()
         self._served.add(content, now_s)
@@ -114,13 +114,13 @@
             if known is not None and known.crashes:
                 self._clear(known)
 
-    def note_crash(
+    def record_crash(
         self,
         content: RequestContent,
         request_id: str,
         server_id: str,
         at_s: float,
-        known_slots: tuple[int, ...] = (),
+        known_windows: tuple[int, ...] = (),
     ) -> None:
         """Note that a server ended at `at_s` on the clock while it had a request in hand.
 
@@ -129,15 +129,17 @@
         """
         common_s = self._common_s(at_s)
         scopes = content.scopes()
-        for scope, known_slot in zip(scopes, known_slots or (NO_SLOT,) * len(scopes), strict=True):
-            make = make_shared_end if scope.is_shared else make_caller_end
+        for scope, known_slot in zip(
+            scopes, known_windows or (NO_WINDOW,) * len(scopes), strict=True
+        ):
+            make = make_shared_crash_id if scope.is_shared else make_caller_crash_id
             end = make(common_s, known_slot, server_id)
             self._own_crashes.append(end)
             mark = mark_of(scope)
             known = self._table.get(mark) or _unknown(mark, scope.is_shared)
             if known.is_cleared_since(at_s):
                 continue
-            changed = known.crashed(end, at_s)
+            changed = known.with_crash(end, at_s)
             log_message(
                 message_type="quarantine:crash",
                 level="WARNING",
@@ -148,44 +150,44 @@
                 host=scope.host,
                 target=scope.target[:MAX_LOGGED_TARGET],
                 caller=scope.caller,
-                crashes=changed.ends,
+                crashes=changed.crash_count,
             )
             self._take(known, changed)
             self.on_crash(changed)
-        self.on_news()
+        self.on_unreported()
 
-    def tidy(self) -> None:
+    def remove_expired(self) -> None:
         """Forget what was not seen for long."""
-        for each in self._table.forget_old():
+        for each in self._table.remove_expired():
             self._forget(each)
 
     # ---- peers and store ----
 
-    def take_notes(self, notes: Iterable[SuspectNote]) -> None:
+    def merge_suspects(self, notes: Iterable[SuspectNote]) -> None:
         """Take what a peer or the store says."""
         for note in notes:
-            if note.seen_age_s < MEMORY_S:
+            if note.seen_age_s < RETENTION_S:
                 self._take_note(note)
 
-    def take_news(self) -> tuple[SuspectNote, ...]:
+    def next_report(self) -> tuple[SuspectNote, ...]:
         """Return what the next report names; each call counts as one telling."""
-        return tuple(self.note_of(each) for each in self._news.take())
+        return tuple(self.to_note(each) for each in self._news.next_batch())
 
-    def tell_again(self) -> None:
+    def report_all_again(self) -> None:
         """Have all suspects told once more: a peer is heard that may know none of them."""
         for each in self._table.all():
             if each.crashes:
-                self._news.changed(each)
+                self._news.enqueue(each)
 
-    def has_news(self) -> bool:
+    def has_unreported(self) -> bool:
         """Tell whether peers may not know something yet."""
-        return self._news.is_due()
+        return self._news.has_pending()
 
     def get(self, mark: RequestMark) -> Suspect | None:
         """Return what is known of the request of a mark."""
         return self._table.get(mark)
 
-    def note_of(self, suspect: Suspect) -> SuspectNote:
+    def to_note(self, suspect: Suspect) -> SuspectNote:
         """Return what to tell of a suspect now."""
         now_s = self._clock.now()
         return SuspectNote(
@@ -213,7 +215,7 @@
     def _note_refusal(self, known: Suspect) -> None:
         self.refused += 1
         self._refusals[known.mark] = self._refusals.get(known.mark, 0) + 1
-        self._table.put(known.seen(self._clock.now()))
+        self._table.put(known.with_seen(self._clock.now()))
         self.on_refusal(known)
 
     def _take_note(self, note: SuspectNote) -> None:
@@ -228,7 +230,7 @@
             note.is_shared,
         )
         known = self._table.get(mark)
-        merged = told if known is None else known.merged(told)
+        merged = told if known is None else known.merged_with(told)
         if known is not None and _is_same(known, merged):
             self._table.put(merged)
             return
@@ -238,18 +240,18 @@
         """Remember what has changed, and have it told."""
         for dropped in self._table.put(after):
             self._forget(dropped)
-        self._news.changed(after)
+        self._news.enqueue(after)
         self._note_verdict(before, after)
         # Word of a crash may come after the run that clears the request: on its way it was served.
-        if after.crashes and self._served.served_s(after.mark) > after.crashed_s:
+        if after.crashes and self._served.last_served_s(after.mark) > after.crashed_s:
             self._clear(after)
 
     def _clear(self, known: Suspect) -> None:
         cleared = known.cleared(self._clock.now())
         self._take(known, cleared)
         if known.is_refused:
-            self.on_verdict(cleared)
-        self.on_news()
+            self.on_status_change(cleared)
+        self.on_unreported()
 
     def _note_verdict(self, before: Suspect, after: Suspect) -> None:
         if before.is_refused == after.is_refused:
@@ -259,11 +261,11 @@
                 message_type="quarantine:begun",
                 level="WARNING",
                 mark=str(after.mark),
-                crashes=after.ends,
+                crashes=after.crash_count,
                 is_shared=after.is_shared,
             )
             if not after.crashes.isdisjoint(self._own_crashes):
-                self.on_verdict(after)
+                self.on_status_change(after)
         else:
             innocents = self._refusals.pop(after.mark, 0)
             self.refused_innocents += innocents
@@ -275,7 +277,7 @@
             )
 
     def _forget(self, suspect: Suspect) -> None:
-        self._news.forget(suspect.mark)
+        self._news.remove(suspect.mark)
         self._refusals.pop(suspect.mark, None)
         if suspect.is_refused:
             log_message(message_type="quarantine:forgotten", mark=str(suspect.mark))
--- a/indigoworks/quarantine/quarantine_rows.py
+++ b/indigoworks/quarantine/quarantine_rows.py
@@ -13,7 +13,7 @@
 from indigoworks.quarantine.quarantine import Quarantine
 from indigoworks.quarantine.request_mark import RequestMark
 from indigoworks.quarantine.suspect import Suspect
-from indigoworks.quarantine.suspect_table import MEMORY_S
+from indigoworks.quarantine.suspect_table import RETENTION_S
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.row_store import RowStore
 from indigoworks.rowstore.store_health import StoreHealth
@@ -32,7 +32,7 @@
 MAX_WANTED = ROWS
 """Writes that wait at most; what comes beyond that is told to the peers alone."""
 
-REFRESH_S = MEMORY_S / 2
+REFRESH_S = RETENTION_S / 2
 """The row of a request that still comes is written again after so long, so that a restart of all
 gateways finds it young enough."""
 
@@ -93,18 +93,18 @@
         for mark in self._own:
             suspect = self._quarantine.get(mark)
             if suspect is not None:
-                self.want(suspect)
+                self.schedule_write(suspect)
 
-    def want(self, suspect: Suspect) -> None:
+    def schedule_write(self, suspect: Suspect) -> None:
         """Have written what is known of a request."""
         if len(self._wanted) < MAX_WANTED:
             self._wanted[suspect.mark] = None
             self._has_work.set()
 
-    def note_crash(self, suspect: Suspect) -> None:
+    def handle_crash(self, suspect: Suspect) -> None:
         """Have written of a request that is not refused yet, if peers may not hear of it."""
         if not suspect.is_refused and self._is_cut() and not self._is_taken(suspect.mark):
-            self.want(suspect)
+            self.schedule_write(suspect)
 
     def _is_taken(self, mark: RequestMark) -> bool:
         """Tell whether the row of a mark holds another request that is refused."""
@@ -112,16 +112,16 @@
         known = None if other is None or other == mark else self._quarantine.get(other)
         return known is not None and known.is_refused
 
-    def note_refusal(self, suspect: Suspect) -> None:
+    def handle_refusal(self, suspect: Suspect) -> None:
         """Have the row of a request written again that is refused and that is old."""
         written_s = self._written_s.get(_number(suspect.mark), float("-inf"))
         if self._clock.now() - written_s > REFRESH_S:
-            self.want(suspect)
+            self.schedule_write(suspect)
 
-    def take_rows(self, rows: Iterable[Row]) -> None:
+    def apply_rows(self, rows: Iterable[Row]) -> None:
         """Take rows; those of other kinds are passed over."""
         notes = [self._note_of(row) for row in rows if row.key.startswith(ROW_PREFIX)]
-        self._quarantine.take_notes(each for each in notes if each is not None)
+        self._quarantine.merge_suspects(each for each in notes if each is not None)
 
     async def run(self) -> None:
         """Write what is wanted until cancelled."""
@@ -140,7 +140,7 @@
             self._own.discard(mark)
             return True
         stored = StoredSuspect(
-            self._quarantine.note_of(suspect), self._health.to_store_ms(self._clock.now())
+            self._quarantine.to_note(suspect), self._health.to_store_ms(self._clock.now())
         )
         put = RowPut(self._table, _key(mark), encode_stored(stored))
         if isinstance(await self._store.commit(self._make_transaction((), (put,))), Err):
--- a/indigoworks/quarantine/served_requests.py
+++ b/indigoworks/quarantine/served_requests.py
@@ -34,7 +34,7 @@
         if len(content.body) <= MAX_BODY_BYTES:
             self._fresh.append((at_s, content))
 
-    def served_s(self, mark: RequestMark) -> float:
+    def last_served_s(self, mark: RequestMark) -> float:
         """Return when a request was served last; minus infinity: not among those that are kept."""
         while self._fresh:
             at_s, content = self._fresh.popleft()
--- a/indigoworks/quarantine/suspect.py
+++ b/indigoworks/quarantine/suspect.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, replace
 
-from indigoworks.quarantine.counted_ends import count_ends, first_of_slots
+from indigoworks.quarantine.crash_ids import count_crashes, first_crash_per_window
 from indigoworks.quarantine.request_mark import RequestMark
 
-HARM_LIMIT = 3
+CRASH_LIMIT = 3
 """Servers that end one after the other under a request, none of whose runs ends well in between,
 before it is refused. A server that ends has up to ten requests in hand, and one of those may meet a
 second such server by chance."""
@@ -39,22 +39,22 @@
     is_shared: bool = False
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Return how many ends of servers speak against it."""
-        return count_ends(self.crashes)
+        return count_crashes(self.crashes)
 
     @property
     def is_refused(self) -> bool:
         """Tell whether the request is sent to no server, a shared one until it is tried anew."""
-        return self.ends >= HARM_LIMIT
+        return self.crash_count >= CRASH_LIMIT
 
-    def is_tried_anew(self, now_s: float) -> bool:
+    def may_be_retried(self, now_s: float) -> bool:
         """Tell whether a shared request is let through to learn whether it still harms."""
-        return self.is_shared and self.refused_left_s(now_s) <= 0
+        return self.is_shared and self.remaining_refusal_s(now_s) <= 0
 
-    def refused_left_s(self, now_s: float) -> float:
+    def remaining_refusal_s(self, now_s: float) -> float:
         """Return for how much longer a shared request is refused."""
-        factor = 1 << max(0, self.ends - HARM_LIMIT)
+        factor = 1 << max(0, self.crash_count - CRASH_LIMIT)
         refusal_s = min(SHARED_REFUSAL_S * factor, MAX_SHARED_REFUSAL_S)
         return self.crashed_s + refusal_s - now_s
 
@@ -62,9 +62,9 @@
         """Tell whether a run ended well after `at_s`, and none ended a server since."""
         return self.generation > 0 and not self.crashes and self.seen_s > at_s
 
-    def crashed(self, crash: int, at_s: float) -> "Suspect":
+    def with_crash(self, crash_id: int, at_s: float) -> "Suspect":
         """Return the same after another end of a server."""
-        crashes = first_of_slots(self.crashes | {crash})
+        crashes = first_crash_per_window(self.crashes | {crash_id})
         return replace(self, crashes=crashes, crashed_s=at_s, seen_s=at_s)
 
     def cleared(self, at_s: float) -> "Suspect":
@@ -77,19 +77,19 @@
             seen_s=at_s,
         )
 
-    def seen(self, at_s: float) -> "Suspect":
+    def with_seen(self, at_s: float) -> "Suspect":
         """Return the same after a try of it came."""
         return replace(self, seen_s=max(self.seen_s, at_s))
 
-    def merged(self, other: "Suspect") -> "Suspect":
+    def merged_with(self, other: "Suspect") -> "Suspect":
         """Return what both know."""
         if self.generation != other.generation:
             newer = max(self, other, key=lambda each: each.generation)
-            return newer.seen(max(self.seen_s, other.seen_s))
+            return newer.with_seen(max(self.seen_s, other.seen_s))
         return Suspect(
             self.mark,
             self.generation,
-            first_of_slots(self.crashes | other.crashes),
+            first_crash_per_window(self.crashes | other.crashes),
             max(self.crashed_s, other.crashed_s),
             max(self.seen_s, other.seen_s),
             self.is_shared,
--- a/indigoworks/quarantine/suspect_news.py
+++ b/indigoworks/quarantine/suspect_report_queue.py
@@ -8,7 +8,7 @@
 from indigoworks.quarantine.suspect import Suspect
 from indigoworks.quarantine.suspect_table import SuspectTable
 
-TELL_TIMES = 4
+REPORTS_PER_CHANGE = 4
 """Reports that name a suspect after each change of it. At least every second one goes to all zones,
 and whoever learns of it tells it as often again."""
 
@@ -16,12 +16,12 @@
 """Suspects with more than one crash are named once more each so many seconds, for gateways whose
 links lost all of the first tellings. Who is heard anew is told all at once."""
 
-MAX_TOLD = 16
+MAX_SUSPECTS_PER_REPORT = 16
 """Suspects in one report, of 44 bytes each at three crashes (measured), 0.7 KB: so
 a report stays below the 1.5 KB of a packet."""
 
 
-class SuspectNews:
+class SuspectReportQueue:
     """Keeps what is still to be told: first those close to a refusal, then those of one crash and
     those that are cleared. A report costs the same however many there are."""
 
@@ -33,26 +33,26 @@
         self._to_repeat: deque[RequestMark] = deque()
         self._repeated_s = float("-inf")
 
-    def changed(self, suspect: Suspect) -> None:
+    def enqueue(self, suspect: Suspect) -> None:
         """Note that peers are to learn of a suspect."""
-        self.forget(suspect.mark)
+        self.remove(suspect.mark)
         waiting = self._urgent if len(suspect.crashes) > 1 else self._others
-        waiting[suspect.mark] = TELL_TIMES
+        waiting[suspect.mark] = REPORTS_PER_CHANGE
 
-    def forget(self, mark: RequestMark) -> None:
+    def remove(self, mark: RequestMark) -> None:
         """Tell no more of a request."""
         self._urgent.pop(mark, None)
         self._others.pop(mark, None)
 
-    def is_due(self) -> bool:
+    def has_pending(self) -> bool:
         """Tell whether a report would say something that peers may not know."""
         return bool(self._urgent or self._others)
 
-    def take(self) -> list[Suspect]:
+    def next_batch(self) -> list[Suspect]:
         """Return what the next report names; each call counts as one telling."""
-        told = self._tell(self._urgent, MAX_TOLD)
-        told += self._tell(self._others, MAX_TOLD - len(told))
-        return told + self._repeated(MAX_TOLD - len(told))
+        told = self._tell(self._urgent, MAX_SUSPECTS_PER_REPORT)
+        told += self._tell(self._others, MAX_SUSPECTS_PER_REPORT - len(told))
+        return told + self._repeated(MAX_SUSPECTS_PER_REPORT - len(told))
 
     def _tell(self, waiting: OrderedDict[RequestMark, int], most: int) -> list[Suspect]:
         found: list[Suspect] = []
--- a/indigoworks/quarantine/suspect_table.py
+++ b/indigoworks/quarantine/suspect_table.py
@@ -7,7 +7,7 @@
 from indigoworks.quarantine.request_mark import RequestMark, body_of, head_of
 from indigoworks.quarantine.suspect import Suspect
 
-MEMORY_S = 600.0
+RETENTION_S = 600.0
 """A request that was not seen for so long is forgotten. An estimate: callers come again within
 seconds, and who comes back when the refusal says so is served again if the fault is mended."""
 
@@ -52,9 +52,9 @@
         self._by_mark[suspect.mark] = suspect
         return [] if len(self._by_mark) <= MAX_SUSPECTS else [self._drop_least()]
 
-    def forget_old(self) -> list[Suspect]:
+    def remove_expired(self) -> list[Suspect]:
         """Forget what was not seen for MEMORY_S; returns it."""
-        earliest_s = self._clock.now() - MEMORY_S
+        earliest_s = self._clock.now() - RETENTION_S
         old = [each for each in self._by_mark.values() if each.seen_s < earliest_s]
         for each in old:
             self._remove(each)
--- a/indigoworks_lab/crash_simulation/crash_gateway.py
+++ b/indigoworks_lab/crash_simulation/crash_gateway.py
@@ -98,7 +98,7 @@
             lambda datagram, to: send(self, datagram, to),
         )
         telling = CoalescedCall(self.sender.send_soon)
-        self.side.quarantine.on_news = telling.ask
+        self.side.quarantine.on_unreported = telling.ask
         self.side.on_notice = telling.ask
         self._sequence = 0
 
@@ -114,7 +114,7 @@
             self.sender.send_if_due()
 
     def _has_news(self) -> bool:
-        has_notes = self.side.quarantine.has_news() or self.side.notices.has_any()
+        has_notes = self.side.quarantine.has_unreported() or self.side.notices.has_any()
         return bool(self.side.board.loads()) or has_notes
 
     def _make_report(self) -> PeerReport:
@@ -129,11 +129,11 @@
             loads=self.side.board.loads(),
             samples=(),
             retry_count=0,
-            suspects=self.side.quarantine.take_news(),
+            suspects=self.side.quarantine.next_report(),
             notices=self.side.notices.notes(),
         )
 
     def _take(self, report: PeerReport) -> None:
-        self.side.quarantine.take_notes(report.suspects)
+        self.side.quarantine.merge_suspects(report.suspects)
         self.side.notices.take(report.notices)
         self.side.queue.capacity_changed()
--- a/indigoworks_lab/simulation/bounded/lease_handover.py
+++ b/indigoworks_lab/simulation/bounded/lease_handover.py
@@ -12,10 +12,10 @@
 from indigoworks.common.ring.key_hash import KEY_SPACE_MAX
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.controller_ports import ControllerPorts
-from indigoworks.controller.lease_keeper import LeaseKeeper
+from indigoworks.controller.lease_manager import LeaseManager
 from indigoworks.controller.lease_timing import BACKEND_LEASE_S
 from indigoworks.controller.ownership_context import OwnershipContext
-from indigoworks.controller.ownership_rules import take_from_lost_servers
+from indigoworks.controller.ownership_rules import reassign_ranges_of_lost_servers
 from indigoworks.settings import SettingsTree
 from indigoworks.wire.control_pb2 import (
     SERVER_STATE_LIVE,
@@ -74,7 +74,7 @@
         leadership = cast(Any, SteadyLeadership(self._clock))
         self._silent = servers[SILENT]
         self._silent_clock = silent_clock
-        self._leases = LeaseKeeper(self._state, leadership, ports, asyncio.Event())
+        self._leases = LeaseManager(self._state, leadership, ports, asyncio.Event())
         self._context = OwnershipContext(
             self._state, self._leases, leadership, SettingsTree(), self._clock
         )
@@ -86,11 +86,11 @@
         """
         self._set_up()
         for _ in range(ROUNDS):
-            self._leases.follow_state()
-            for command in take_from_lost_servers(self._context):
+            self._leases.reconcile()
+            for command in reassign_ranges_of_lost_servers(self._context):
                 await asyncio.sleep(detangle.choice(COMMIT_DELAYS_S))
                 self._apply(command)
-                self._leases.follow_state()
+                self._leases.reconcile()
             await asyncio.sleep(ROUND_S)
         self._leases.close()
         self._check()
--- a/indigoworks_lab/simulation/broken_rules/controller_rules.py
+++ b/indigoworks_lab/simulation/broken_rules/controller_rules.py
@@ -6,8 +6,8 @@
 from indigoworks.admin.settings_accepted import SettingsAccepted
 from indigoworks.controller.control_state import ReplicatedControlState
 from indigoworks.controller.leadership import Leadership
-from indigoworks.controller.lease_keeper import LeaseKeeper
-from indigoworks.controller.lease_timing import FAILED_RENEWALS_OF_A_LOSS
+from indigoworks.controller.lease_manager import LeaseManager
+from indigoworks.controller.lease_timing import FAILED_RENEWALS_BEFORE_LOSS
 from indigoworks.controller.server_lease import ServerLease
 from indigoworks.controller.server_lease_task import ServerLeaseTask
 from indigoworks.controller.settings_record import SettingsRecord
@@ -53,7 +53,7 @@
 
 
 def _tell_if_lost(task: ServerLeaseTask) -> bool:
-    is_silent = task._failures >= FAILED_RENEWALS_OF_A_LOSS
+    is_silent = task._failures >= FAILED_RENEWALS_BEFORE_LOSS
     return is_silent and task._lease.has_lapsed(task._ports.clock.now())
 
 
@@ -69,7 +69,7 @@
     BrokenRule(
         "renew-lost-servers",
         "A leader renews a server again after it has decided to take its ranges.",
-        lambda: [Replacement(ServerLeaseTask, "give_up_if_lost", _tell_if_lost)],
+        lambda: [Replacement(ServerLeaseTask, "mark_lost_if_expired", _tell_if_lost)],
         "leases",
         ("sole ownership",),
         shown_by=ShownBy.SEARCH,
@@ -88,7 +88,7 @@
     BrokenRule(
         "hand-over-unreleased",
         "A leader gives a range to its next owner before the owner has released it.",
-        lambda: [Replacement(LeaseKeeper, "has_released", lambda *_: True)],
+        lambda: [Replacement(LeaseManager, "has_released", lambda *_: True)],
         "handovers",
         ("sole ownership", "effects under ownership"),
         seed=10,
@@ -130,7 +130,7 @@
     BrokenRule(
         "keep-draining-servers",
         "A leader takes no notice of servers that want to be emptied.",
-        lambda: [Replacement(LeaseKeeper, "draining_servers", lambda _keeper: [])],
+        lambda: [Replacement(LeaseManager, "draining_servers", lambda _keeper: [])],
         "leases",
         ("leaving servers idle",),
         seed=2,
