--- a/indigoworks/router/__init__.py
+++ b/indigoworks/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router: serves callers and dispatches to owners."""
+"""The router: accepts callers' requests and dispatches each to the owner of its key."""
--- a/indigoworks/router/caller_headers.py
+++ b/indigoworks/router/caller_headers.py
@@ -11,19 +11,19 @@
 """Group that the request is charged to."""
 
 TIMEOUT_MS = "Indigoworks-Timeout-Ms"
-"""Milliseconds that the caller waits, at most the service's timeout."""
+"""Milliseconds that the caller waits; capped at the service's timeout."""
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
-"""Resends under the same key are answered from one run."""
+"""Requests resent with the same key are answered from a single run."""
 
 OUTCOME = "Indigoworks-Outcome"
-"""What became of the request: completed, not-run or unknown."""
+"""Outcome of the request: completed, not-run or unknown."""
 
 RETRY_AFTER = "Retry-After"
-"""Whole seconds after which a repeat may succeed."""
+"""Whole seconds after which a retry may succeed."""
 
 RETRY_AFTER_MS = "Indigoworks-Retry-After-Ms"
-"""The same in milliseconds, for callers that can use it."""
+"""The delay of Retry-After in milliseconds, for callers that can use it."""
 
 _OWN_ANSWER_HEADERS = frozenset(
     name.lower() for name in (REQUEST_ID, OUTCOME, RETRY_AFTER_MS, "Server", "Date")
@@ -31,11 +31,11 @@
 
 
 def headers_for_backend(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the caller's headers that the back end gets."""
+    """Return the caller's headers to forward to the back end."""
     return end_to_end_headers(headers)
 
 
 def headers_for_caller(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the back end's headers that the caller gets; the router writes some of its own."""
+    """Return the back end's headers to forward to the caller, without those the router sets."""
     kept = end_to_end_headers(headers)
     return tuple(pair for pair in kept if pair[0].lower() not in _OWN_ANSWER_HEADERS)
--- a/indigoworks/router/caller_request.py
+++ b/indigoworks/router/caller_request.py
@@ -1,19 +1,19 @@
-"""A caller's request as it enters the request path."""
+"""A caller's request as received, before it is routed."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """One request of a caller, with its whole body.
+    """A caller's request with its complete body.
 
     :ivar request_id: id given by the caller or made by the router; unique per request.
     :ivar key: bytes of the key, percent-decoded.
-    :ivar group: group that the capacity is charged to.
-    :ivar path: path and query, unchanged, as the back end sees them.
+    :ivar group: group that the used capacity is charged to.
+    :ivar path: path and query, forwarded to the back end unchanged.
     :ivar headers: end-to-end headers, as (name, value).
-    :ivar timeout_s: seconds the caller waits; None takes the service's timeout.
-    :ivar idempotency_key: resends under the same one are answered from one run; None: no resends.
+    :ivar timeout_s: seconds the caller waits; None: the service's timeout applies.
+    :ivar idempotency_key: requests resent with it are answered from a single run; None: not set.
     """
 
     request_id: str
--- a/indigoworks/router/caller_response.py
+++ b/indigoworks/router/caller_response.py
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True)
 class CallerResponse:
-    """Status, end-to-end headers and whole body, and what became of the request.
+    """Status, end-to-end headers, complete body, and the outcome of the request.
 
-    :ivar retry_after_s: seconds after which a repeat may succeed; 0: none is given.
-    :ivar error: why the request was not completed; None when it was.
+    :ivar retry_after_s: seconds after which a retry may succeed; 0: not stated.
+    :ivar error: why the request was not completed; None if it was.
     """
 
     status: int
@@ -26,12 +26,12 @@
 
 
 def response_of_answer(answer: BackendAnswer) -> CallerResponse:
-    """Return the response that passes a back end's whole answer on."""
+    """Return the response that forwards a back end's complete answer."""
     return CallerResponse(answer.status, answer.headers, answer.body, Outcome.COMPLETED)
 
 
 def response_of_error(error: RouterError) -> CallerResponse:
-    """Return the response that explains `error` as a JSON object."""
+    """Return the response that reports `error` as a JSON object."""
     fields = {
         "kind": error.kind,
         "message": error.message,
--- a/indigoworks/router/controller_administration.py
+++ b/indigoworks/router/controller_administration.py
@@ -1,4 +1,4 @@
-"""Administration on a router: passes every call to a controller."""
+"""Administration API of a router: forwards every call to a controller."""
 
 from eliot import log_message
 from result import Err
@@ -14,20 +14,20 @@
 from indigoworks.wire.rpc_client import RpcClient
 
 ADMIN_TIMEOUT_S = 5.0
-"""Longest wait for a controller's answer; a settings change waits for the platform."""
+"""Timeout of one call to a controller; a settings change includes a write to the platform."""
 
 ADMIN_RETRY_AFTER_S = 1.0
-"""When an operator may repeat a call that no controller took."""
+"""Retry-After of a call that no controller handled."""
 
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-"""Methods that change nothing: they go to the next controller whatever became of them."""
+"""Methods that change nothing: on any error they are retried at the next controller."""
 
 
 class ControllerAdministration:
-    """Tries the controllers in the router's order; a controller passes calls to the leader.
+    """Tries the controllers in the router's order; a controller forwards calls to the leader.
 
-    A call that changes something is passed to another controller only if the one before provably
-    did not handle it. See Administration.
+    A call that may change something is retried at another controller only if the previous one
+    provably did not handle it.
     """
 
     def __init__(self, directory: ControllerDirectory, group_id: int = 0) -> None:
@@ -36,7 +36,7 @@
         self._clients: dict[Address, RpcClient] = {}
 
     async def handle(self, call: AdminCall) -> AdminAnswer:
-        """Answer `call`; errors are answers too."""
+        """Answer `call`; an error is returned as an answer."""
         for address in self._directory.candidates():
             answered = await self._client(address).call(_frame(call), ADMIN_TIMEOUT_S)
             if not isinstance(answered, Err):
--- a/indigoworks/router/controller_directory.py
+++ b/indigoworks/router/controller_directory.py
@@ -1,4 +1,4 @@
-"""Where a router looks for controllers."""
+"""Addresses of the controllers, in the order in which a router tries them."""
 
 from collections.abc import Sequence
 
@@ -12,14 +12,14 @@
 CONTROLLER_ROLE = "controller"
 
 REFRESH_INTERVAL_S = 3.0
-"""Pause between two reads of the platform's machine list, which is rate-limited."""
+"""Interval between reads of the platform's machine list, which is rate-limited."""
 
 
 class ControllerDirectory:
-    """Addresses of controllers in the order in which one router tries them.
+    """Lists controller addresses from the configuration and the platform's machine list.
 
-    Controllers of the router's own zone go first. Within a zone the order is a hash of router and
-    address: fixed for one router, spread over the controllers for many.
+    Controllers in the router's own zone come first. Within a zone the order is a hash of router
+    name and address: stable for one router, and different routers start at different controllers.
     """
 
     def __init__(
@@ -32,13 +32,13 @@
         self._zones: dict[Address, str] = {}
 
     async def run(self, clock: Clock) -> None:
-        """Refresh from time to time until cancelled; nothing waits for the platform."""
+        """Refresh periodically until cancelled; no request waits for the platform."""
         while True:
             await self.refresh()
             await clock.sleep(REFRESH_INTERVAL_S)
 
     async def refresh(self) -> None:
-        """Read the platform's machine list; when it cannot be read the last one is kept."""
+        """Read the platform's machine list; if that fails, the last one read is kept."""
         listed = await self._machines.machines()
         if not isinstance(listed, Ok):
             return
@@ -49,9 +49,9 @@
         }
 
     def candidates(self) -> tuple[Address, ...]:
-        """Return the known addresses, first to last.
+        """Return the known addresses, the first choice first.
 
-        The machine list lags, so the configured addresses stay in even when it lacks them.
+        The machine list lags, so configured addresses are included even if it lacks them.
         """
         known = {*self._configured, *self._zones}
         return tuple(sorted(known, key=self._rank))
--- a/indigoworks/router/dispatch_request.py
+++ b/indigoworks/router/dispatch_request.py
@@ -1,4 +1,4 @@
-"""A request on its way from the router that received it to a back end."""
+"""A routed request, as the receiving router hands it to the server's dispatcher."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True)
 class DispatchRequest:
-    """A request for one run of one server.
+    """A request addressed to one process of one server.
 
-    :ivar owned: what the server gets; its `remaining_s` is set anew when it is sent.
-    :ivar server_name: the owner; `owned.server_incarnation` says which run of it.
-    :ivar deadline_s: end of the caller's patience, on the clock of this process.
-    :ivar is_repeatable: a second run does no harm.
-    :ivar generation, settings_version: of the view that the request was routed by.
+    :ivar owned: the request sent to the server; `remaining_s` is updated when it is sent.
+    :ivar server_name: the owner; `owned.server_incarnation` identifies its process.
+    :ivar deadline_s: the caller's deadline, as a reading of this process's clock.
+    :ivar is_repeatable: the request may safely run more than once.
+    :ivar generation, settings_version: of the view used to route the request.
     """
 
     owned: OwnedRequest
--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatcher of one back end: its slots and the queue of those who wait for one."""
+"""Dispatcher of one back end: its slots and the queue of requests waiting for one."""
 
 import asyncio
 
@@ -26,23 +26,23 @@
 DispatchResult = Result[BackendAnswer, RouterError]
 
 MAX_SHED_PAUSE_S = 1.0
-"""Longest pause that a back end's Retry-After imposes on its dispatcher."""
+"""Upper bound of the pause after a back end has shed a request, whatever its Retry-After."""
 
 MIN_SHED_PAUSE_S = 0.02
-"""Shortest pause after a back end has shed a request."""
+"""Lower bound of the pause after a back end has shed a request."""
 
 SHED_LIMIT = 3
-"""Times that one request is queued again after the back end shed it."""
+"""Number of sheds after which a request is refused instead of queued again."""
 
 WAKE_INTERVAL_S = 0.1
-"""Interval at which a ramping server's queue is looked at without an event."""
+"""Interval at which the queue of a server in slow start is processed without an event."""
 
 
 class ServerDispatcher:
-    """Sends requests to one run of one server, never more at once than it has slots.
+    """Sends requests to one server process, never more concurrently than it has slots.
 
-    Requests that find no free slot wait in a weighted fair queue over groups. A request that
-    cannot be served in time is refused as soon as that is known.
+    Requests that find no free slot wait in a queue that is weighted-fair across groups. A request
+    that cannot be served in time is refused as soon as that is known.
     """
 
     def __init__(self, server: ServerRecord, ports: DispatcherPorts, slow_start: SlowStart) -> None:
@@ -58,29 +58,29 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests hold a slot."""
+        """Number of requests that hold a slot."""
         return self._in_flight
 
     @property
     def queue_length(self) -> int:
-        """Return how many requests wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits and nothing is in flight."""
+        """Whether no request is queued or in flight."""
         return self._in_flight == 0 and not self._queue
 
     def divide_slots(self, divisor: int) -> None:
-        """Use 1 / `divisor` of the slots, at least one: other routers send to the server too."""
+        """Use 1 / `divisor` of the slots, at least one: other routers use the same server."""
         self._divisor = max(1, divisor)
 
     async def submit(
         self, request: DispatchRequest, group: str, limits: ResolvedSettings
     ) -> DispatchResult:
-        """Queue the request, send it when its turn comes, and return the whole answer.
+        """Queue the request, send it once a slot is granted, and return the complete answer.
 
-        Cancelling takes it out of the queue, or closes its connection to the server.
+        Cancellation removes it from the queue, or closes its connection to the server.
         """
         entry = QueueEntry(group, limits.weight, limits.max_concurrency_per_group)
         queue_until_s = self._ports.clock.now() + limits.max_queue_delay_s
@@ -105,7 +105,7 @@
     def _refusal(
         self, entry: QueueEntry, request: DispatchRequest, limits: ResolvedSettings
     ) -> RouterError | None:
-        """Return why the request is not even queued, or None when it is."""
+        """Return why the request is refused without queueing, or None if it may be queued."""
         if not self._queue and self._in_flight < self._limit():
             return None
         wait_s = self._estimated_wait_s(entry)
@@ -117,14 +117,14 @@
         return None
 
     def _estimated_wait_s(self, entry: QueueEntry) -> float:
-        """Return how long a new request of the group would wait, from the measured speed."""
+        """Estimate how long a new request of the group would wait, from measured service time."""
         slots = self._limit()
         service_s = self._service_time.service_s()
         share = self._queue.share_of(entry.group, entry.weight) * slots
         if entry.concurrency_limit is not None:
             share = min(share, entry.concurrency_limit)
         by_share_s = (self._queue.length_of(entry.group) + 1) * service_s / share
-        # Shares that others leave unused are lent: a request never waits for more than all others.
+        # Groups borrow unused shares of others: the wait never exceeds that behind the whole queue.
         by_total_s = (len(self._queue) + 1) * service_s / slots
         return self._pause_left_s() + min(by_share_s, by_total_s)
 
@@ -141,7 +141,7 @@
             async with asyncio.timeout(max(0.0, latest_s - self._ports.clock.now())):
                 await entry.granted.wait()
         except TimeoutError:
-            # The slot may have been given in the same turn of the loop: then it is used.
+            # The slot may have been granted in this event-loop iteration: then it is used.
             if entry.has_slot:
                 return None
             self._queue.remove(entry)
@@ -156,7 +156,7 @@
         return None
 
     def _grant_slots(self) -> None:
-        """Give free slots to those whose turn it is."""
+        """Grant free slots to the next queued requests."""
         while self._queue and self._in_flight < self._limit() and self._pause_left_s() <= 0:
             entry = self._queue.take(self._service_time.service_s())
             if entry is None:
@@ -174,7 +174,7 @@
         return max(0.0, self._paused_until_s - self._ports.clock.now())
 
     def _wake_when_needed(self) -> None:
-        """The end of a pause and a step of the ramp are no events: look again after a while."""
+        """Start a timer: the end of a pause and a rise of the slow-start limit trigger no event."""
         is_ramping = self._slow_start.is_ramping(self._ports.clock.now())
         if not self._queue or not (is_ramping or self._pause_left_s() > 0):
             return
@@ -211,7 +211,7 @@
         self._grant_slots()
 
     async def _send(self, request: DispatchRequest) -> DispatchResult:
-        """Send at most once; everything that forbids sending is checked in the same loop turn."""
+        """Send at most once, in the event-loop iteration that checks the preconditions."""
         refusal = self._send_refusal(request)
         if refusal is not None:
             return Err(refusal)
@@ -233,7 +233,7 @@
         return None
 
     def _may_send(self, request: DispatchRequest) -> bool:
-        """A non-repeatable request is sent once, whatever comes in a second time."""
+        """Allow only one send of a non-repeatable request id."""
         return request.is_repeatable or self._ports.sent.claim(request.owned.request_id)
 
     def _is_provably_not_run(self, outcome: DispatchResult) -> bool:
--- a/indigoworks/router/dispatcher_cache.py
+++ b/indigoworks/router/dispatcher_cache.py
@@ -1,18 +1,17 @@
-"""Remembered choices of dispatchers."""
+"""Cache of the dispatcher selected for each server."""
 
 from indigoworks.router.dispatcher_choice import dispatcher_of
 from indigoworks.router.router_peer import RouterPeer
 from indigoworks.router.server_record import ServerRecord
 
 MAX_ENTRIES = 10_000
-"""Choices kept at most; then all are made anew."""
+"""Size at which the cache is cleared."""
 
 
 class DispatcherCache:
-    """Makes the choice of `dispatcher_of` once for each server and list of routers.
+    """Caches `dispatcher_of` by server for the current list of routers and suspects.
 
-    The choice looks at every router: made anew for each request it would cost more, the more
-    routers there are.
+    The selection hashes every router, so its cost per request would grow with their number.
     """
 
     def __init__(self) -> None:
@@ -26,7 +25,7 @@
         routers: tuple[RouterPeer, ...],
         suspects: frozenset[RouterPeer],
     ) -> RouterPeer | None:
-        """Return what the function of that name returns for the same arguments."""
+        """Return the result of the function `dispatcher_of`, from the cache if possible."""
         self._clear_if_stale(routers, suspects)
         key = (server.name, server.zone)
         if key not in self._chosen:
@@ -36,8 +35,8 @@
     def _clear_if_stale(
         self, routers: tuple[RouterPeer, ...], suspects: frozenset[RouterPeer]
     ) -> None:
-        # By identity: views share the list while it does not change, and comparing it costs as
-        # much as choosing.
+        # Compared by identity: views share the list object until it changes, and comparing the
+        # elements would cost as much as selecting.
         is_same = routers is self._routers and suspects == self._suspects
         if is_same and len(self._chosen) < MAX_ENTRIES:
             return
--- a/indigoworks/router/dispatcher_choice.py
+++ b/indigoworks/router/dispatcher_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the router that dispatches to a back end."""
+"""Selects the router that dispatches to a back end."""
 
 from collections.abc import Collection, Iterable
 
@@ -11,14 +11,13 @@
 def dispatcher_of(
     server: ServerRecord, routers: Collection[RouterPeer], suspects: Collection[RouterPeer] = ()
 ) -> RouterPeer | None:
-    """Return the dispatcher of `server`, or None when no router is eligible.
+    """Return the dispatcher of `server`, or None if no router is eligible.
 
-    Rendezvous hashing: every router with the same list makes the same choice, and a router that
-    joins or leaves moves only the servers that it dispatches to itself. Routers of the server's
-    zone go first; when the zone has none, all routers are eligible, so that a server still has one
-    dispatcher.
+    Rendezvous hashing: all routers with the same list select the same dispatcher, and a router
+    that joins or leaves moves only the servers it dispatches to. Routers in the server's zone are
+    preferred; if there are none, all routers are eligible, so that every server has a dispatcher.
 
-    :param suspects: routers that just failed to answer; they are passed over.
+    :param suspects: routers that recently failed to answer; they are skipped.
     """
     eligible = [router for router in routers if router not in suspects]
     nearby = [router for router in eligible if router.zone == server.zone]
--- a/indigoworks/router/dispatcher_pool.py
+++ b/indigoworks/router/dispatcher_pool.py
@@ -12,11 +12,11 @@
 from indigoworks.settings.settings_tree import DEFAULT_GROUP
 
 ServerRun = tuple[str, str]
-"""Name and incarnation of a server."""
+"""One process of a server: its name and incarnation."""
 
 
 class DispatcherPool:
-    """One dispatcher for each run of a server that this router dispatches to."""
+    """Holds a dispatcher for each server process that this router dispatches to."""
 
     def __init__(self, ports: DispatcherPorts) -> None:
         self._ports = ports
@@ -27,7 +27,7 @@
         return iter(tuple(self._dispatchers.values()))
 
     def apply_view(self, view: RoutingView) -> None:
-        """Note which servers are new, and drop dispatchers of servers that are gone."""
+        """Record when servers first appeared, and drop idle dispatchers of removed servers."""
         now_s = self._ports.clock.now()
         runs = {_run(server) for server in view.servers.values()}
         self._first_seen_s = {run: self._first_seen_s.get(run, now_s) for run in runs}
@@ -40,10 +40,10 @@
     async def dispatch(
         self, request: DispatchRequest, server: ServerRecord, view: RoutingView
     ) -> DispatchResult:
-        """Send the request to the server when its turn comes, and return the whole answer."""
+        """Queue the request at the server's dispatcher and return the complete answer."""
         limits = self._limits(request, view)
         if limits is None:
-            raise ValueError(f"service {request.owned.service} is not in the view")
+            raise ValueError(f"service {request.owned.service} is not in the settings of the view")
         dispatcher = self._dispatcher(server)
         dispatcher.divide_slots(len(view.routers) if limits.hop == "direct" else 1)
         return await dispatcher.submit(request, self._group(request, view), limits)
@@ -53,7 +53,7 @@
         return view.settings.resolve(owned.service, owned.group, owned.key)
 
     def _group(self, request: DispatchRequest, view: RoutingView) -> str:
-        """Groups that the tree does not know share one queue: a made-up name gains nothing."""
+        """Groups that are not in the settings share one queue: a made-up name gains nothing."""
         group = request.owned.group
         return group if group in view.groups else DEFAULT_GROUP
 
--- a/indigoworks/router/dispatcher_ports.py
+++ b/indigoworks/router/dispatcher_ports.py
@@ -1,4 +1,4 @@
-"""What the dispatchers of one router share."""
+"""Dependencies shared by the dispatchers of a router."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True)
 class DispatcherPorts:
-    """Ports of the dispatchers of one router.
+    """Dependencies of the dispatchers of a router.
 
-    :ivar is_view_in_force: tells whether the router may act upon its view at this moment.
+    :ivar sent: ids of the non-repeatable requests that were sent.
+    :ivar is_view_in_force: returns whether the lease of the router's view is currently valid.
     """
 
     clock: Clock
--- a/indigoworks/router/errors.py
+++ b/indigoworks/router/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the request path. Each names the HTTP status and the outcome that a caller gets."""
+"""Errors of the request path, each with the HTTP status and outcome reported to the caller."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True)
 class RouterError(IndigoworksError):
-    """Base of the errors of the request path.
+    """Base class of the errors of the request path.
 
-    :cvar status: HTTP status of the answer to the caller.
-    :cvar outcome: NOT_RUN only where no back end ran the request.
+    :cvar status: HTTP status returned to the caller.
+    :cvar outcome: NOT_RUN only if no back end ran the request.
     """
 
     kind: ClassVar[str] = "router"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class UnknownService(RouterError):
-    """The settings tree has no such service."""
+    """The service is not in the settings."""
 
     kind: ClassVar[str] = "unknown_service"
     status: ClassVar[int] = 404
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class BadRequest(RouterError):
-    """A header of the request cannot be read."""
+    """The request has a malformed header or an unsupported method."""
 
     kind: ClassVar[str] = "bad_request"
     status: ClassVar[int] = 400
@@ -62,63 +62,63 @@
 
 @dataclass(frozen=True)
 class ViewExpired(RouterError):
-    """The router's view of owners and settings is too old to act upon."""
+    """The lease of the router's view of owners and settings has expired."""
 
     kind: ClassVar[str] = "view_expired"
 
 
 @dataclass(frozen=True)
 class RouterStopping(RouterError):
-    """The router is being stopped and takes no new request."""
+    """The router is stopping and accepts no new requests."""
 
     kind: ClassVar[str] = "router_stopping"
 
 
 @dataclass(frozen=True)
 class NoOwner(RouterError):
-    """No server owns the key at the moment."""
+    """No live server owns the key."""
 
     kind: ClassVar[str] = "no_owner"
 
 
 @dataclass(frozen=True)
 class WrongOwner(RouterError):
-    """The server refused the request unrun because it does not own the key."""
+    """The server refused to run the request because it does not own the key."""
 
     kind: ClassVar[str] = "wrong_owner"
 
 
 @dataclass(frozen=True)
 class OwnerUnreachable(RouterError):
-    """No connection to the owner could be made; nothing was sent."""
+    """Connecting to the owner failed; nothing was sent."""
 
     kind: ClassVar[str] = "owner_unreachable"
 
 
 @dataclass(frozen=True)
 class DispatcherUnreachable(RouterError):
-    """The dispatcher of the owner could not be reached or declined to dispatch."""
+    """The router that dispatches to the owner was unreachable or declined to dispatch."""
 
     kind: ClassVar[str] = "dispatcher_unreachable"
 
 
 @dataclass(frozen=True)
 class QueueFull(RouterError):
-    """The group has as many requests waiting for the server as it may."""
+    """The group's queue for the server is full."""
 
     kind: ClassVar[str] = "queue_full"
 
 
 @dataclass(frozen=True)
 class WaitTooLong(RouterError):
-    """The request would wait for the server longer than it may."""
+    """The request would have to wait too long for a slot of the server."""
 
     kind: ClassVar[str] = "wait_too_long"
 
 
 @dataclass(frozen=True)
 class ServerShedding(RouterError):
-    """The server declined the request unrun because of its load."""
+    """The server refused to run the request because it is overloaded."""
 
     kind: ClassVar[str] = "server_shedding"
 
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True)
 class AnswerLost(RouterError):
-    """The answer is missing or cut short; the request may have run."""
+    """The answer was lost or truncated; the request may have run."""
 
     kind: ClassVar[str] = "answer_lost"
     status: ClassVar[int] = 504
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class AlreadySent(RouterError):
-    """A non-repeatable request of the same id was sent to a server before."""
+    """A non-repeatable request with the same id was already sent to a server."""
 
     kind: ClassVar[str] = "already_sent"
     status: ClassVar[int] = 504
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True)
 class AnswerTooLarge(RouterError):
-    """The request ran, but its answer exceeds what the system passes on."""
+    """The request ran, but its answer exceeds the size limit."""
 
     kind: ClassVar[str] = "answer_too_large"
     status: ClassVar[int] = 504
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True)
 class RouterFault(RouterError):
-    """The router failed on the request by a programming fault; the request may have run."""
+    """An internal error of the router; the request may have run."""
 
     kind: ClassVar[str] = "router_fault"
     status: ClassVar[int] = 504
--- a/indigoworks/router/forward_codec.py
+++ b/indigoworks/router/forward_codec.py
@@ -1,4 +1,4 @@
-"""Requests and answers between routers as messages of the internal protocol."""
+"""Converts requests and answers between routers to and from protocol messages."""
 
 from collections.abc import Iterable
 
@@ -42,7 +42,7 @@
 
 
 def forward_request(request: DispatchRequest, remaining_s: float) -> control_pb2.ForwardRequest:
-    """Return the message that carries `request` to its dispatcher."""
+    """Return the message that forwards `request` to its dispatcher."""
     owned = request.owned
     return control_pb2.ForwardRequest(
         request_id=owned.request_id,
@@ -66,9 +66,10 @@
 
 
 def dispatch_request(message: control_pb2.ForwardRequest, now_s: float) -> DispatchRequest:
-    """Return the request in `message`, received when the own clock read `now_s`.
+    """Return the request in `message`, which was received at `now_s` on the local clock.
 
-    The message may have been held up on the way: a deadline on the own clock goes first.
+    `remaining_s` does not count delays in transit; `deadline_clock_s`, a deadline on the local
+    clock, does, and limits it if the sender could set it.
     """
     deadline_s = now_s + message.remaining_s
     if message.HasField("deadline_clock_s"):
@@ -99,7 +100,7 @@
 
 
 def forward_reply(request_id: str, result: DispatchResult) -> control_pb2.ForwardReply:
-    """Return the message that carries the result back."""
+    """Return the message that reports the result to the forwarding router."""
     if isinstance(result, Ok) and len(result.unwrap().body) > MAX_BODY_BYTES:
         result = Err(_answer_too_large(len(result.unwrap().body)))
     if isinstance(result, Ok):
@@ -124,7 +125,7 @@
 
 
 def dispatch_result(reply: control_pb2.ForwardReply) -> DispatchResult:
-    """Return the result in `reply`. A kind that this version does not know counts as unknown."""
+    """Return the result in `reply`; an error kind unknown to this version becomes AnswerLost."""
     if reply.outcome == control_pb2.OUTCOME_COMPLETED:
         return Ok(BackendAnswer(reply.status, _header_pairs(reply.headers), reply.body))
     error_type = _ERRORS_BY_KIND.get(reply.error_kind, errors.AnswerLost)
--- a/indigoworks/router/forward_service.py
+++ b/indigoworks/router/forward_service.py
@@ -1,4 +1,4 @@
-"""Serves the requests of other routers to dispatch for them."""
+"""Dispatches requests that other routers forward to this one."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 from indigoworks.wire import control_pb2
 
 SERVER_WAIT_S = 0.3
-"""How long a request waits for a view that knows its server: the sender's view may be newer."""
+"""Longest wait for a view that contains the server: the sender's view may be newer."""
 
 
 class ForwardService:
-    """Dispatches forwarded requests and takes their cancellations."""
+    """Handles forwarded requests and their cancellations."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._active: dict[str, set[asyncio.Task[DispatchResult]]] = {}
 
     async def forward(self, message: control_pb2.ForwardRequest) -> control_pb2.Frame:
-        """Dispatch a forwarded request; the reply says what became of it."""
+        """Dispatch a forwarded request and reply with its result."""
         refusal = self._refusal(message)
         if refusal is not None:
             return _refused(refusal)
@@ -60,15 +60,15 @@
         return control_pb2.Frame(forward_reply=reply)
 
     async def cancel(self, message: control_pb2.CancelRequest) -> control_pb2.Frame:
-        """Cancel a forwarded request, wherever it stands."""
+        """Cancel a forwarded request, whether queued or sent."""
         for task in self._active.get(message.request_id, ()):
             task.cancel()
         return control_pb2.Frame(cancel_reply=control_pb2.CancelReply())
 
     def _refusal(self, message: control_pb2.ForwardRequest) -> RouterError | None:
-        """Return why the request is not taken. The sender then chooses another dispatcher."""
+        """Return why the request is not accepted, or None; the sender then reroutes it."""
         if message.dispatcher_incarnation != self._member.incarnation:
-            reason = "another run of the router was meant."
+            reason = "it was meant for another process of that router."
             return refusals.dispatcher_unreachable(self._member.name, reason)
         if self._is_stopping():
             return refusals.router_stopping()
@@ -82,13 +82,13 @@
             return Err(refusals.answer_lost("the request was cancelled."))
         error = task.exception()
         if error is not None:
-            # The request may have been sent before the fault: never "not run".
+            # The request may have been sent before the exception: never report "not run".
             log_message(message_type="router:dispatch_failed", error=repr(error))
             return Err(_fault())
         return task.result()
 
     async def _dispatch(self, request: DispatchRequest) -> DispatchResult:
-        # A cancellation that arrived right behind the request must come before it is sent.
+        # Let a cancellation that arrived right after the request be handled before it is sent.
         await asyncio.sleep(0)
         view = await self._follower.wait_until(
             lambda view: self._knows_server(view, request), SERVER_WAIT_S
@@ -106,7 +106,7 @@
 
 
 def _refused(error: RouterError) -> control_pb2.Frame:
-    """An error frame tells the sender that the request was not handled at all."""
+    """Return an error frame: it means that the request was not handled at all."""
     return control_pb2.Frame(
         error=control_pb2.ErrorReply(
             kind=error.kind,
--- a/indigoworks/router/forwarder.py
+++ b/indigoworks/router/forwarder.py
@@ -1,4 +1,4 @@
-"""Hands requests to the routers that dispatch to their owners."""
+"""Forwards requests to the routers that dispatch to the owners."""
 
 import asyncio
 from collections import Counter
@@ -19,17 +19,17 @@
 from indigoworks.wire.rpc_client import RpcClient
 
 FORWARD_GRACE_S = 0.1
-"""Time after the deadline for which the dispatcher's own verdict is awaited."""
+"""Time past the deadline during which the dispatcher's own result is still awaited."""
 
 PROBE_AFTER_S = 0.3
-"""A repeatable request that waits longer has its dispatcher probed, again and again."""
+"""Interval at which the dispatcher of a waiting repeatable request is probed."""
 
 CANCEL_TIMEOUT_S = 0.5
-"""Longest wait for the answer to a cancellation."""
+"""Timeout of a cancellation message."""
 
 
 class Forwarder:
-    """Keeps one connection to each router that it forwards to."""
+    """Forwards requests over one connection to each peer router."""
 
     def __init__(self, clock: Clock, monitor: PeerMonitor, group_id: int = 0) -> None:
         self._clock = clock
@@ -42,8 +42,8 @@
     async def forward(self, peer: RouterPeer, request: DispatchRequest) -> DispatchResult:
         """Have `peer` dispatch the request, and return its result.
 
-        Cancelling passes the cancellation on. A lost reply is AnswerLost: the peer may have sent
-        the request to the owner.
+        Cancellation is forwarded to the peer. A lost reply results in AnswerLost: the peer may
+        have sent the request to the owner.
         """
         client = self._client(peer)
         if not await self._monitor.is_reachable(peer, client):
@@ -59,22 +59,22 @@
             return Err(self._failure(peer, client, request, called.unwrap_err()))
         reply = called.unwrap()
         if reply.WhichOneof("payload") != "forward_reply":
-            return Err(refusals.answer_lost(f"router {peer.name} sent another message."))
+            return Err(refusals.answer_lost(f"router {peer.name} sent an unexpected message."))
         self._monitor.record_answer(peer, reply.forward_reply.clock_s)
         return dispatch_result(reply.forward_reply)
 
     def keep_only(self, peers: tuple[RouterPeer, ...]) -> None:
-        """Close the idle connections to routers that are gone.
+        """Close the idle connections to all other routers.
 
-        A router that is being stopped leaves the list before it has answered all requests: its
-        connection must stay until then.
+        A stopping router leaves the list before it has answered all requests, so its connection
+        is kept until then.
         """
         for peer in set(self._clients) - set(peers):
             if not self._calls[peer]:
                 self._clients.pop(peer).close()
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Wait for pending cancellations and close all connections."""
         await asyncio.gather(*self._cancellations, return_exceptions=True)
         for client in self._clients.values():
             client.close()
@@ -112,7 +112,7 @@
             self._calls[peer] -= 1
 
     def _may_give_up(self, frame: control_pb2.Frame) -> bool:
-        """Giving up on a silent dispatcher gains time only where the request may be repeated."""
+        """Giving up on a silent dispatcher saves time only if the request may be retried."""
         return frame.forward_request.is_repeatable
 
     def _failure(
@@ -143,5 +143,5 @@
 def _silent(peer: RouterPeer) -> CallTimedOut:
     return CallTimedOut(
         f"Router {peer.name} does not answer probes.",
-        "Check the load of that router and the network path.",
+        "Check the load of that router and the network path to it.",
     )
--- a/indigoworks/router/http_server.py
+++ b/indigoworks/router/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of a router: callers, and beside them administration, metrics and health."""
+"""HTTP server of a router: callers' requests, administration, metrics and health."""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,17 +17,17 @@
 from indigoworks.router.service_handler import CallerContext, ServiceHandler
 
 WRITE_TIMEOUT_S = 5.0
-"""Longest wait, after the router has stopped, for answers that are still being written."""
+"""Timeout for writing the remaining answers after the router has stopped."""
 
 CLOSE_LINGER_S = 0.2
-"""Time for requests on connections that were open when the port closed: they are still refused by
-an answer, so that their callers know that they did not run."""
+"""Time for which open connections are still served after the port is closed: requests on them are
+refused with an answer, so that their callers know that they did not run."""
 
 HttpRule = tuple[str, type[Any], dict[str, Any]]
 
 
 class RouterHttpServer:
-    """Serves callers under /v1/, and the given rules beside it."""
+    """Serves callers under /v1/, and the given additional rules."""
 
     def __init__(self, router: Router, address: Address, other_rules: Sequence[HttpRule]) -> None:
         self._router = router
@@ -39,17 +39,17 @@
         self._listener = HttpListener(self._server, address)
 
     def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         :raises OSError: the address cannot be bound.
         """
         self._listener.start()
 
     async def stop(self) -> None:
-        """Stop the router if it was not yet, finish writing its answers, and close.
+        """Stop the router, finish writing its answers, and close all connections.
 
-        While the router stops, new requests are refused by an answer and not by a closed port: a
-        caller then knows that they did not run.
+        While the router stops, new requests are refused with an answer instead of a closed port,
+        so that the caller knows that they did not run.
         """
         await self._router.stop()
         self._listener.stop()
--- a/indigoworks/router/idempotency_cache.py
+++ b/indigoworks/router/idempotency_cache.py
@@ -1,4 +1,4 @@
-"""One run for all resends of a request under the same idempotency key."""
+"""Deduplicates requests that callers resend with the same idempotency key."""
 
 import asyncio
 from collections import OrderedDict
@@ -13,18 +13,18 @@
 from indigoworks.router.outcome import Outcome
 
 RETENTION_S = 300.0
-"""Seconds for which the answer of a finished run is kept."""
+"""Seconds for which the answer of a finished run is cached."""
 
 MAX_ENTRIES = 10_000
-"""Answers kept at most; the oldest are dropped first."""
+"""Maximum number of cached answers; the oldest are evicted first."""
 
 MAX_BYTES = 64 * 1024 * 1024
-"""Bytes of bodies kept at most; the oldest answers are dropped first."""
+"""Maximum total size of the cached bodies; the oldest answers are evicted first."""
 
 
 @dataclass(frozen=True)
 class IdempotencyId:
-    """What a caller's idempotency key is unique within."""
+    """Idempotency key with the service, key and group that it is scoped to."""
 
     service: str
     key: bytes
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True)
 class ActiveRun:
-    """One run in progress.
+    """A run in progress.
 
-    :ivar fingerprint: hash of what a resend must repeat.
+    :ivar fingerprint: hash of the parts that a resent request must have in common with it.
     """
 
     fingerprint: bytes
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class FinishedRun:
-    """The answer of a finished run; `finished_s` is a reading of the router's clock."""
+    """Answer of a finished run; `finished_s` is a reading of the router's clock."""
 
     fingerprint: bytes
     response: CallerResponse
@@ -53,12 +53,12 @@
 
 
 class IdempotencyCache:
-    """Coalesces resends under one idempotency key, and answers later ones from memory.
+    """Coalesces concurrent requests with one idempotency key, and answers later ones from memory.
 
-    Extent: resends that reach the same router process, within REMEMBERED_S of the end of the run,
-    while fewer than REMEMBERED_ENTRIES newer answers of fewer than REMEMBERED_BYTES are kept.
-    Outcomes `completed` and `unknown` are remembered; after `not-run` a resend runs anew. A run
-    with an idempotency key goes on when its caller disconnects: the resend finds its answer.
+    It covers requests that reach the same router process within RETENTION_S of the end of the run,
+    unless newer answers have exceeded MAX_ENTRIES or MAX_BYTES. Outcomes `completed` and `unknown`
+    are cached; after `not-run` a resent request runs again. A run with an idempotency key
+    continues if its caller disconnects, so that a resent request finds its answer.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -70,7 +70,7 @@
     async def answer(
         self, request: CallerRequest, run: Callable[[], Awaitable[CallerResponse]]
     ) -> CallerResponse:
-        """Return the answer of the one run; `run` is called only if there is none."""
+        """Return the answer of the active or cached run; call `run` only if there is none."""
         self._evict_old()
         identity = _identity(request)
         fingerprint = _fingerprint(request)
@@ -81,7 +81,7 @@
             return known.response
         if known is None:
             known = self._start(identity, fingerprint, run)
-        # One caller that goes away must not end the run of the others.
+        # A caller that disconnects must not cancel the run for the others.
         return await asyncio.shield(known.task)
 
     async def finish(self) -> None:
@@ -113,7 +113,7 @@
                 self._store(identity, FinishedRun(fingerprint, response, self._clock.now()))
             return response
         finally:
-            # In the same turn as the memory is filled: no resend may find neither of them.
+            # In the event-loop iteration that caches the answer: a resend finds one or the other.
             del self._runs[identity]
 
     def _store(self, identity: IdempotencyId, remembered: FinishedRun) -> None:
--- a/indigoworks/router/initial_view.py
+++ b/indigoworks/router/initial_view.py
@@ -1,4 +1,4 @@
-"""The view that a router starts from."""
+"""Initial view of a starting router, read from the object store."""
 
 from google.protobuf.message import DecodeError
 
@@ -10,10 +10,10 @@
 
 
 async def read_initial_view(objects: ObjectStore, group_id: int) -> RoutingView | None:
-    """Return a recent view from the object store, or None where there is none to be had.
+    """Return a recent view from the object store, or None if there is no readable one.
 
-    It must not be acted upon: a controller confirms it first and adds what has changed since.
-    Routers that start together then ask the controllers for deltas and not for whole views.
+    It has no lease: a controller must confirm it and send the changes since. Routers that start
+    at the same time thus request deltas from the controllers instead of complete views.
     """
     read = await objects.get(view_object_name(group_id))
     content = read.unwrap_or(None)
--- a/indigoworks/router/limits.py
+++ b/indigoworks/router/limits.py
@@ -1,4 +1,4 @@
-"""Sizes that the system passes on, whatever the settings tree allows."""
+"""Hard size limits, independent of the settings tree."""
 
 MAX_BODY_BYTES = 15 * 1024 * 1024
-"""Largest body of a request or answer; it must fit a frame of the internal protocol."""
+"""Maximum body size of a request or answer: it must fit in a frame of the internal protocol."""
--- a/indigoworks/router/outcome.py
+++ b/indigoworks/router/outcome.py
@@ -1,16 +1,16 @@
-"""What became of a caller's request."""
+"""Outcome of a caller's request, as reported to the caller."""
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """The three outcomes that a caller can tell apart."""
+    """Whether the request ran, as far as the router knows."""
 
     COMPLETED = "completed"
-    """A back end ran the request and its whole answer is passed on."""
+    """A back end ran the request, and its complete answer is returned."""
 
     NOT_RUN = "not-run"
     """No back end ran the request, and none will."""
 
     UNKNOWN = "unknown"
-    """A back end may have run the request; its answer is missing."""
+    """A back end may have run the request, but there is no complete answer."""
--- a/indigoworks/router/peer_clock.py
+++ b/indigoworks/router/peer_clock.py
@@ -1,15 +1,15 @@
-"""What is known of another process's clock."""
+"""Estimate of another process's clock."""
 
 from indigoworks.common.lease_bounds import MAX_CLOCK_DRIFT
 
 
 class PeerClock:
-    """Lower bound of the difference between a peer's clock and the own one.
+    """Lower bound of the difference between a peer's clock and the local clock.
 
-    A reading that the peer sent was taken before it arrived here, so the peer's clock is at least
-    that far by now. Deadlines put into the peer's clock by this bound may come out early, by the
-    time of the fastest answer lately, but never late: however long a message is held up on the way
-    or in a frozen process, it is not acted upon after its deadline.
+    The peer took a reading before it arrived here, so its clock shows at least that value on
+    arrival. A deadline converted with this bound may be early, by the latency of the fastest
+    recent answer, but never late: however long a message is delayed on the network or in a frozen
+    process, it is not acted upon after its deadline.
     """
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self._recorded_at_s = 0.0
 
     def record_reading(self, reading_s: float, now_s: float) -> None:
-        """Take a reading of the peer's clock that arrived at `now_s`."""
+        """Update the bound with a reading of the peer's clock that arrived at `now_s`."""
         difference_s = reading_s - now_s
         known_s = self._bound_s(now_s)
         if known_s is None or difference_s > known_s:
@@ -25,7 +25,7 @@
             self._recorded_at_s = now_s
 
     def deadline(self, deadline_s: float, now_s: float) -> float | None:
-        """Return a deadline of the own clock as a reading of the peer's; None: nothing is known."""
+        """Convert a local deadline to the peer's clock; None if no reading was received."""
         bound_s = self._bound_s(now_s)
         if bound_s is None:
             return None
@@ -35,5 +35,5 @@
     def _bound_s(self, now_s: float) -> float | None:
         if self._difference_s is None:
             return None
-        # The clocks may have drifted apart since.
+        # The clocks may have drifted apart since the reading.
         return self._difference_s - 2 * MAX_CLOCK_DRIFT * (now_s - self._recorded_at_s)
--- a/indigoworks/router/peer_monitor.py
+++ b/indigoworks/router/peer_monitor.py
@@ -1,4 +1,4 @@
-"""Tells whether other routers still answer."""
+"""Failure detector for other routers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,22 +12,22 @@
 from indigoworks.wire.rpc_client import RpcClient
 
 PROBE_TIMEOUT_S = 0.25
-"""Longest wait for the answer to a probe, connecting included."""
+"""Timeout of a probe, including the time to connect."""
 
 FRESH_ANSWER_S = 0.5
-"""A router that answered anything within this time needs no probe before it gets a request."""
+"""A router that answered within this time is not probed before a request is forwarded to it."""
 
 MIN_SUSPICION_S = 1.0
 MAX_SUSPICION_S = 8.0
-"""Seconds for which a router that failed to answer is not chosen as dispatcher; doubled with each
-failure in a row."""
+"""Seconds for which a router that failed to answer is not selected as dispatcher; doubled with each
+consecutive failure."""
 
 _NO_PEERS: frozenset[RouterPeer] = frozenset()
 
 
 @dataclass
 class PeerState:
-    """What is known of one run of one router; times are readings of the own clock."""
+    """State of one process of a peer router; times are readings of the local clock."""
 
     clock: PeerClock = field(default_factory=PeerClock)
     answered_at_s: float = float("-inf")
@@ -37,10 +37,10 @@
 
 
 class PeerMonitor:
-    """Probes routers before a request is risked on them, and while one waits long on them.
+    """Probes routers before requests are forwarded to them and while a forwarded request waits.
 
-    A frozen or cut-off router keeps its connections open: only a probe tells it from one whose
-    queue is long.
+    A frozen or partitioned router keeps its connections open: only a probe distinguishes it from
+    one with a long queue.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -49,7 +49,7 @@
         self._last_suspicion_until_s = float("-inf")
 
     def suspects(self) -> frozenset[RouterPeer]:
-        """Return the routers that failed lately."""
+        """Return the routers that recently failed."""
         now_s = self._clock.now()
         if now_s >= self._last_suspicion_until_s:
             return _NO_PEERS
@@ -59,7 +59,7 @@
         return frozenset(suspected)
 
     def mark_suspect(self, peer: RouterPeer) -> None:
-        """Note that the router failed; failures that come together count once."""
+        """Record a failure of the router; failures while it is suspected count once."""
         state = self._state(peer)
         now_s = self._clock.now()
         state.answered_at_s = float("-inf")
@@ -70,7 +70,7 @@
         state.suspicion_s = min(MAX_SUSPICION_S, 2 * state.suspicion_s)
 
     def record_answer(self, peer: RouterPeer, reading_s: float) -> None:
-        """Note an answer of the router with a reading of its clock."""
+        """Record an answer of the router, with a reading of its clock."""
         state = self._state(peer)
         now_s = self._clock.now()
         state.answered_at_s = now_s
@@ -79,17 +79,17 @@
         state.clock.record_reading(reading_s, now_s)
 
     def peer_deadline(self, peer: RouterPeer, deadline_s: float) -> float | None:
-        """Return an own deadline as a reading of the router's clock, never too late."""
+        """Convert a local deadline to the router's clock, never later; None if it is unknown."""
         return self._state(peer).clock.deadline(deadline_s, self._clock.now())
 
     async def is_reachable(self, peer: RouterPeer, client: RpcClient) -> bool:
-        """Tell whether a request may be risked on the router; probe it if it was long silent."""
+        """Tell whether the router answers; probe it if its last answer is not fresh."""
         if self._clock.now() - self._state(peer).answered_at_s <= FRESH_ANSWER_S:
             return True
         return await self.is_alive(peer, client)
 
     async def is_alive(self, peer: RouterPeer, client: RpcClient) -> bool:
-        """Probe the router; requests that wait on the same router share one probe."""
+        """Probe the router; concurrent callers share one probe."""
         state = self._state(peer)
         if state.probe is None or state.probe.done():
             state.probe = asyncio.ensure_future(self._probe(peer, client))
@@ -99,7 +99,7 @@
         return is_alive
 
     def keep_only(self, peers: tuple[RouterPeer, ...]) -> None:
-        """Forget routers that are gone."""
+        """Remove the state of all other routers."""
         self._states = {peer: self._states[peer] for peer in peers if peer in self._states}
 
     async def _probe(self, peer: RouterPeer, client: RpcClient) -> bool:
--- a/indigoworks/router/queue_entry.py
+++ b/indigoworks/router/queue_entry.py
@@ -1,4 +1,4 @@
-"""A request that waits for a slot of a back end."""
+"""A request queued for a slot of a back end."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,9 +8,9 @@
 
 @dataclass(eq=False)
 class QueueEntry(FairEntry):
-    """One waiting request.
+    """Queue entry of one request.
 
-    :ivar has_slot: a slot is held for the request; whoever sees it must give it back.
+    :ivar has_slot: the request holds a slot, which must be released in the end.
     :ivar granted: set together with `has_slot`.
     """
 
--- a/indigoworks/router/range_loads.py
+++ b/indigoworks/router/range_loads.py
@@ -1,4 +1,4 @@
-"""Load of the ranges that a router dispatches to, as it measures it."""
+"""Measured load of the ranges that a router dispatches to."""
 
 import math
 
@@ -6,22 +6,22 @@
 from indigoworks.wire.control_pb2 import RangeLoad
 
 AVERAGE_S = 2.0
-"""Time constant of the moving average. Shorter follows a moving hot key, longer is less noisy."""
+"""Time constant of the moving average: shorter tracks a moving hot key, longer is less noisy."""
 
 REPORT_INTERVAL_S = 0.5
-"""Time between two reports to the controllers."""
+"""Interval between reports to the controllers."""
 
 MIN_BUSY_SLOTS = 0.001
 """Load below which a range is not reported."""
 
 RangeStart = tuple[str, int]
-"""Service and first place of a range."""
+"""Service and first ring position of a range."""
 
 
 class RangeLoads:
-    """Moving average of the slots that the requests of each range hold.
+    """Moving average of the slots held by the requests of each range.
 
-    The back ends' own load reports lag and mislead, so they are not used.
+    The back ends' own load reports are not used: they lag behind and can be wrong.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -31,12 +31,12 @@
         self._reported_at_s = float("-inf")
 
     def add(self, service: str, range_start: int, busy_s: float) -> None:
-        """Count the time for which one request held a slot."""
+        """Add the time for which a request held a slot."""
         index = (service, range_start)
         self._busy_s[index] = self._busy_s.get(index, 0.0) + busy_s
 
     def report(self) -> list[RangeLoad]:
-        """Return the loads if a report is due, else nothing."""
+        """Return the loads if a report is due, else an empty list."""
         now_s = self._clock.now()
         if now_s - self._reported_at_s < REPORT_INTERVAL_S:
             return []
--- a/indigoworks/router/refusals.py
+++ b/indigoworks/router/refusals.py
@@ -1,4 +1,4 @@
-"""Texts of the errors of the request path and the time after which to come back."""
+"""Constructors of the errors of the request path, with messages and retry delays."""
 
 from random import Random
 
@@ -22,26 +22,26 @@
 )
 
 MIN_RETRY_AFTER_S = 0.1
-"""Shortest time that a refused caller is asked to wait."""
+"""Minimum Retry-After."""
 
 RETRY_SPREAD = 0.5
-"""Share of the waiting time that is added at random, so that callers do not return together."""
+"""Maximum jitter as a share of the delay, so that callers do not retry at the same time."""
 
 REASSIGNMENT_S = 1.0
-"""Time after which a key without an owner is usually served again."""
+"""Time within which a key without an owner is usually reassigned."""
 
 STOPPING_RETRY_AFTER_S = 0.2
-"""Time after which a caller of a stopping router may repeat the request elsewhere."""
+"""Retry-After of a stopping router: the request can be repeated at another one."""
 
 
 def spread_retry_after_s(wait_s: float, random: Random) -> float:
-    """Return the time to come back after, at least `wait_s` and up to half as much more."""
+    """Return `wait_s`, at least MIN_RETRY_AFTER_S, plus random jitter of up to half of it."""
     shortest_s = max(MIN_RETRY_AFTER_S, wait_s)
     return shortest_s * (1.0 + RETRY_SPREAD * random.random())
 
 
 def unknown_service(service: str) -> UnknownService:
-    """Return the refusal of a service that the settings tree does not name."""
+    """Return the refusal of a service that is not in the settings."""
     return UnknownService(
         f"There is no service {service!r}.",
         "Check the request path /v1/SERVICE/KEY against the services of the settings tree.",
@@ -62,7 +62,7 @@
 
 
 def idempotency_key_reused() -> IdempotencyKeyReused:
-    """Return the refusal of an idempotency key that stands for another request."""
+    """Return the refusal of an idempotency key that was used for a different request."""
     return IdempotencyKeyReused(
         "The idempotency key was used before with another method, path or body.",
         "Give every new request a new idempotency key.",
@@ -70,16 +70,16 @@
 
 
 def view_expired() -> ViewExpired:
-    """Return the refusal of a router whose view lease has ended."""
+    """Return the refusal of a router whose view lease has expired."""
     return ViewExpired(
-        "This router has lost touch with the controllers.",
+        "This router has lost contact with the controllers, and its routing data has expired.",
         "Repeat the request at another router, or here after the time given.",
         REASSIGNMENT_S,
     )
 
 
 def router_stopping() -> RouterStopping:
-    """Return the refusal of a router that is being stopped."""
+    """Return the refusal of a router that is stopping."""
     return RouterStopping(
         "This router is being stopped.",
         "Repeat the request at another router.",
@@ -88,9 +88,9 @@
 
 
 def no_owner(service: str, retry_after_s: float) -> NoOwner:
-    """Return the refusal of a key that nobody owns at the moment."""
+    """Return the refusal of a key that currently has no owner."""
     return NoOwner(
-        f"No server of {service} owns the key at the moment.",
+        f"No server of {service} currently owns the key.",
         "Repeat the request after the time given.",
         retry_after_s,
     )
@@ -106,7 +106,7 @@
 
 
 def owner_unreachable(server_name: str, retry_after_s: float) -> OwnerUnreachable:
-    """Return the failure to connect to the owner."""
+    """Return the error of a failed connection to the owner."""
     return OwnerUnreachable(
         f"Server {server_name} cannot be reached.",
         "Repeat the request after the time given.",
@@ -115,9 +115,9 @@
 
 
 def dispatcher_unreachable(router_name: str, reason: str) -> DispatcherUnreachable:
-    """Return the failure to hand a request to another router."""
+    """Return the error of a failed forward to another router."""
     return DispatcherUnreachable(
-        f"Router {router_name} did not take the request: {reason}",
+        f"Router {router_name} did not accept the request: {reason}",
         "Repeat the request after the time given.",
         MIN_RETRY_AFTER_S,
     )
@@ -126,23 +126,23 @@
 def queue_full(group: str, server_name: str, retry_after_s: float) -> QueueFull:
     """Return the refusal of a group whose queue is full."""
     return QueueFull(
-        f"Group {group} has as many requests waiting for server {server_name} as it may.",
+        f"The queue of group {group} at server {server_name} is full.",
         "Repeat the request after the time given, or raise max_queue_length.",
         retry_after_s,
     )
 
 
 def wait_too_long(server_name: str, retry_after_s: float) -> WaitTooLong:
-    """Return the refusal of a request that would not be served in time."""
+    """Return the refusal of a request that would wait too long for a slot."""
     return WaitTooLong(
         f"The request would wait too long for server {server_name}.",
-        "Repeat the request after the time given, or allow it more time.",
+        "Repeat the request after the time given, or with a longer timeout.",
         retry_after_s,
     )
 
 
 def server_shedding(server_name: str, retry_after_s: float) -> ServerShedding:
-    """Return the refusal of a server that declined for load."""
+    """Return the refusal of a server that is overloaded."""
     return ServerShedding(
         f"Server {server_name} declined the request because of its load.",
         "Repeat the request after the time given.",
@@ -151,25 +151,25 @@
 
 
 def deadline_passed() -> DeadlinePassed:
-    """Return the refusal of a request whose time is over."""
+    """Return the refusal of a request whose deadline has passed."""
     return DeadlinePassed(
-        "The time allowed for the request ended before it could be sent.",
-        "Repeat the request with more time.",
+        "The deadline of the request passed before it could be sent.",
+        "Repeat the request with a longer timeout.",
         MIN_RETRY_AFTER_S,
     )
 
 
 def already_sent(request_id: str) -> AlreadySent:
-    """Return the refusal of a non-repeatable request that was sent before."""
+    """Return the refusal of a non-repeatable request that was already sent."""
     return AlreadySent(
-        f"A request with id {request_id} was sent to a server before.",
-        "Look up whether it took effect; give every new request an id of its own.",
+        f"A request with id {request_id} was already sent to a server.",
+        "Check whether it took effect; give every new request a unique id.",
     )
 
 
 def answer_lost(reason: str) -> AnswerLost:
-    """Return the loss of an answer after the request was sent."""
+    """Return the error of an answer that was lost after the request was sent."""
     return AnswerLost(
         f"The answer was lost: {reason}",
-        "Look up whether the request took effect before sending it again.",
+        "Check whether the request took effect before sending it again.",
     )
--- a/indigoworks/router/request_check.py
+++ b/indigoworks/router/request_check.py
@@ -1,4 +1,4 @@
-"""Checks of a caller's request before it is routed."""
+"""Validation of a caller's request before it is routed."""
 
 from result import Err, Ok, Result
 
@@ -13,7 +13,7 @@
 
 
 class RequestCheck:
-    """Refuses what cannot be routed, and resolves the settings of the rest."""
+    """Validates requests and resolves their settings."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -21,7 +21,7 @@
     def check(
         self, request: CallerRequest, view: RoutingView
     ) -> Result[RoutedRequest, RouterError]:
-        """Return the request with its settings and deadline, or why it is refused."""
+        """Return the request with its settings and deadline, or the reason to refuse it."""
         settings = view.settings.resolve(request.service, request.group, request.key)
         if settings is None:
             return Err(refusals.unknown_service(request.service))
@@ -40,12 +40,12 @@
         )
 
     def max_body_bytes(self, view: RoutingView, service: str, group: str) -> int | None:
-        """Return the limit of a body whose key is not known yet; None: unknown service."""
+        """Return the body size limit before the key is known; None for an unknown service."""
         settings = view.settings.resolve(service, group)
         return None if settings is None else _body_limit(settings)
 
     def _timeout_s(self, request: CallerRequest, settings: ResolvedSettings) -> float:
-        """A caller may ask for less time than the service allows, not for more."""
+        """Return the caller's timeout, capped at that of the service."""
         if request.timeout_s is None:
             return settings.request_timeout_s
         return min(request.timeout_s, settings.request_timeout_s)
@@ -58,13 +58,13 @@
 
 
 def path_after_key(path: str) -> str:
-    """Return what follows the key in /v1/SERVICE/KEY/REST?QUERY: `/REST`, or an empty string."""
+    """Return the path after the key of /v1/SERVICE/KEY/REST?QUERY: `/REST` or an empty string."""
     parts = path.partition("?")[0].split("/", 4)
     return f"/{parts[4]}" if len(parts) > 4 else ""
 
 
 def _is_below(path: str, prefix: str) -> bool:
-    """Prefixes end at a slash: `/stock` covers `/stock/7` and not `/stock-orders`."""
+    """Match whole path segments: `/stock` matches `/stock/7`, but not `/stock-orders`."""
     if ".." in path:
         return False
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
--- a/indigoworks/router/request_path.py
+++ b/indigoworks/router/request_path.py
@@ -1,4 +1,4 @@
-"""The way of a request to the owner of its key, and what is sent again."""
+"""Routes requests to the owners of their keys, and retries them."""
 
 from random import Random
 
@@ -31,20 +31,20 @@
 from indigoworks.router.view_follower import ViewFollower
 
 VIEW_WAIT_S = 0.25
-"""Longest wait for a newer view after one refusal."""
+"""Longest wait for a changed route after one failed attempt."""
 
 VIEW_WAIT_TOTAL_S = 1.0
-"""Longest wait of one request for newer views; a handover takes less."""
+"""Longest total wait of a request for changed routes; a handover takes less."""
 
 REROUTE_LIMIT = 8
-"""Times that one request is routed anew after its route changed."""
+"""Maximum number of times that a request is rerouted after its route has changed."""
 
 
 class RequestPath:
-    """Routes a request, sends it, and decides whether it may be sent again.
+    """Routes a request, sends it, and decides whether to send it again.
 
-    Sent again, whatever the method: what provably did not run. Sent again only if repeatable: what
-    may have run. The rules stand in `_may_route_again` and `_may_send_again`.
+    A request that provably did not run may be sent again regardless of its method, see
+    `_may_route_again`; one that may have run only if it is repeatable, see `_may_send_again`.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     async def run(self, request: RoutedRequest) -> DispatchResult:
-        """Return the owner's whole answer, or why there is none."""
+        """Return the owner's complete answer, or the error to report to the caller."""
         self._budget(request).add_request(request.settings.retry_budget_ratio)
         while True:
             view = self._follower.in_force()
@@ -102,14 +102,14 @@
         return await self._may_route_again(request, route, error)
 
     def _may_send_again(self, request: RoutedRequest, error: RouterError) -> bool:
-        """After a lost answer the request may have run: only a repeatable one is sent again."""
+        """After a lost answer, send the request again only if it is repeatable: it may have run."""
         is_lost = isinstance(error, AnswerLost | RouterFault)
         return is_lost and request.is_repeatable and self._claim_retry(request)
 
     async def _may_route_again(
         self, request: RoutedRequest, route: Route, error: RouterError
     ) -> bool:
-        """The request did not run. Refusals for load and time are final: they go out at once."""
+        """Reroute or retry a request that did not run; refusals for load or deadline are final."""
         if not isinstance(error, WrongOwner | OwnerUnreachable | DispatcherUnreachable):
             return False
         if await self._has_new_route(request, route):
@@ -118,10 +118,10 @@
         return self._claim_retry(request)
 
     async def _has_new_route(self, request: RoutedRequest, route: Route) -> bool:
-        """Tell whether the request now goes another way; wait a little for that.
+        """Tell whether the route of the request has changed; wait briefly for a change.
 
-        A changed route costs no retry budget: it comes from a change of the view or of a router,
-        which is rare, and not from load.
+        A changed route uses no retry budget: it results from a change of ownership or routers,
+        which is rare, and not from overload.
         """
         allowance_s = min(VIEW_WAIT_TOTAL_S - request.waited_s, self._remaining_s(request))
         if allowance_s <= 0:
@@ -148,10 +148,10 @@
         return True
 
     def _verdict(self, request: RoutedRequest, error: RouterError) -> RouterError:
-        """Once an answer was lost, no later refusal makes the request "not run"."""
+        """Return the error to report: after a lost answer it is that loss, never "not run"."""
         return request.lost_answer if request.lost_answer is not None else error
 
-    # ---- parts ----
+    # ---- helpers ----
 
     def _record_loss(self, request: RoutedRequest, error: RouterError) -> None:
         if error.outcome is Outcome.UNKNOWN and request.lost_answer is None:
--- a/indigoworks/router/route.py
+++ b/indigoworks/router/route.py
@@ -1,4 +1,4 @@
-"""Where one attempt of a request goes."""
+"""Route of one attempt of a request."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Owner of the key in one view, and who dispatches to it.
+    """Owner of the key in a view, and the router that dispatches to it.
 
-    :ivar peer: the dispatching router; None when it is this one.
+    :ivar peer: the dispatching router; None if it is this one.
     """
 
     view: RoutingView
--- a/indigoworks/router/route_finder.py
+++ b/indigoworks/router/route_finder.py
@@ -8,7 +8,7 @@
 
 
 class RouteFinder:
-    """Routes requests by a view."""
+    """Finds the route of a request in a view."""
 
     def __init__(self, incarnation: str, monitor: PeerMonitor) -> None:
         self._incarnation = incarnation
@@ -16,7 +16,7 @@
         self._dispatchers = DispatcherCache()
 
     def find(self, view: RoutingView, request: RoutedRequest) -> Route | None:
-        """Return the route, or None when nobody serves the key."""
+        """Return the route, or None if no live server owns the key."""
         assignment = view.assignment(request.caller.service, request.place)
         if assignment is None or not assignment.owner:
             return None
--- a/indigoworks/router/routed_request.py
+++ b/indigoworks/router/routed_request.py
@@ -1,4 +1,4 @@
-"""A caller's request while the router works on it."""
+"""State of a caller's request while the router processes it."""
 
 from dataclasses import dataclass, field
 
@@ -10,15 +10,16 @@
 
 @dataclass
 class RoutedRequest:
-    """A request with what was found out about it so far.
+    """A request with its settings and the state of its attempts.
 
-    :ivar settings: settings in force when it came in.
-    :ivar deadline_s: end of the caller's patience, on the router's clock.
-    :ivar is_repeatable: a second run does no harm.
-    :ivar repeats: times that it was sent again at the expense of the retry budget.
-    :ivar reroutes: times that it was routed anew after a change of the view.
-    :ivar waited_s: time spent waiting for a newer view.
-    :ivar lost: the first lost answer; after it the request can never count as not run.
+    :ivar settings: settings in force when it was received.
+    :ivar deadline_s: the caller's deadline, as a reading of the router's clock.
+    :ivar is_repeatable: the request may safely run more than once.
+    :ivar retries: number of retries charged to the retry budget.
+    :ivar reroutes: number of times that it was rerouted after its route had changed.
+    :ivar waited_s: total time spent waiting for a changed route.
+    :ivar lost_answer: error of the first lost answer; if set, the outcome is never "not run".
+    :ivar place: position of the key on the ring.
     """
 
     caller: CallerRequest
--- a/indigoworks/router/router.py
+++ b/indigoworks/router/router.py
@@ -1,4 +1,4 @@
-"""A router: takes callers' requests and dispatches to the back ends that fall to it."""
+"""A router: accepts callers' requests and dispatches to the back ends assigned to it."""
 
 import asyncio
 from random import Random
@@ -44,15 +44,15 @@
 from indigoworks.wire.rpc_server import RpcServer
 
 STOP_LINGER_S = 3.0
-"""Time for which a stopping router declines to dispatch for others before it closes its port: the
-controllers list it for 1 s after its last poll, and routers use a list for VIEW_LEASE_S."""
+"""Time for which a stopping router keeps its port open and declines forwarded requests: controllers
+list it for 1 s after its last poll as a router, and routers use a list for VIEW_LEASE_S."""
 
 STOP_TIMEOUT_S = 30.0
-"""Longest wait for the requests in progress when the router stops."""
+"""Timeout for the requests in progress when the router stops."""
 
 
 class Router:
-    """The request path of one router process, without HTTP. Uses nothing but asyncio."""
+    """A router process without its HTTP server, which calls `handle`."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         self._server = RpcServer(settings.control_address, self._frames.handle)
         self._observer = RouterObserver(self.metrics, self._follower, self._pool, ports.clock)
 
-    # The lab replaces a part by a broken copy through these.
+    # Factory methods, so that a subclass can replace a component.
 
     def _dispatcher_pool(self, ports: RouterPorts, random: Random) -> DispatcherPool:
         return DispatcherPool(
@@ -115,25 +115,25 @@
 
     @property
     def member(self) -> control_pb2.Member:
-        """Return the identity of this run of the router."""
+        """Identity of this router process."""
         return self._member
 
     @property
     def view(self) -> RoutingView | None:
-        """Return the newest view, whether it may be acted upon or not."""
+        """Newest view, even if its lease has expired."""
         return self._follower.latest
 
     @property
     def is_stopping(self) -> bool:
-        """Tell whether the router takes no new requests any more."""
+        """Whether the router no longer accepts new requests."""
         return self._is_stopping
 
     def in_force(self) -> RoutingView | None:
-        """Return the view if it may be acted upon now."""
+        """Return the view if its lease is valid, else None."""
         return self._follower.in_force()
 
     def max_body_bytes(self, service: str, group: str) -> int | None:
-        """Return the limit of a body, or None for an unknown service or without a view."""
+        """Return the body size limit; None for an unknown service or without a view in force."""
         view = self._follower.in_force()
         return None if view is None else self._check.max_body_bytes(view, service, group)
 
@@ -151,13 +151,13 @@
         log_message(message_type="router:started", incarnation=self._member.incarnation)
 
     async def wait_failed(self) -> str:
-        """Wait until a task that this router needs has ended by itself; return which."""
+        """Wait until a background task of this router has failed, and return which."""
         return await wait_for_failure(self._tasks)
 
     async def stop(self) -> None:
-        """Refuse new requests, finish those in progress, and end. A second call waits as well.
+        """Refuse new requests, finish those in progress, and stop; later calls wait for the first.
 
-        The view is followed until the end: requests in progress may still have to be routed anew.
+        The view is followed until the end, as requests in progress may have to be rerouted.
         """
         if self._stop_task is None:
             self._stop_task = asyncio.ensure_future(self._stop())
@@ -175,7 +175,7 @@
         await self._end()
 
     async def handle(self, request: CallerRequest) -> CallerResponse:
-        """Answer one request of a caller. Cancelling means that the caller went away."""
+        """Answer a caller's request; cancelled if the caller disconnects."""
         started_s = self._clock.now()
         with self._handling.one():
             try:
@@ -201,12 +201,12 @@
         return await self._idempotency.answer(request, lambda: self._run(routed))
 
     async def _run(self, routed: RoutedRequest) -> CallerResponse:
-        # A run with an idempotency key outlives its caller; stop() must wait for it as well.
+        # A run with an idempotency key can outlast its caller's request: stop() waits for it too.
         with self._handling.one():
             try:
                 result = await self._path.run(routed)
             except Exception as error:
-                # The request may have been sent before the fault: never "not run".
+                # The request may have been sent before the exception: never report "not run".
                 log_message(
                     message_type="router:request_failed",
                     level="ERROR",
@@ -237,7 +237,7 @@
         await self._follower.run()
 
     async def _observe_views(self) -> None:
-        """Keep dispatchers and connections in step with the view."""
+        """Update dispatchers, connections and peer states after each change of the view."""
         while True:
             view = await self._follower.next_change()
             self._pool.apply_view(view)
@@ -265,6 +265,5 @@
 def _fault() -> RouterFault:
     return RouterFault(
         "The router failed on the request; it may have run.",
-        "Look up whether the request took effect; see the router's log under "
-        "router:request_failed.",
+        "Check whether the request took effect; see the router's log under router:request_failed.",
     )
--- a/indigoworks/router/router_frames.py
+++ b/indigoworks/router/router_frames.py
@@ -1,4 +1,4 @@
-"""Messages of the internal protocol that a router answers."""
+"""Handles messages of the internal protocol that are sent to a router."""
 
 from indigoworks.common.clock import Clock
 from indigoworks.common.in_progress import InProgress
@@ -9,7 +9,7 @@
 
 
 class RouterFrames:
-    """Hands each message to the part that answers it."""
+    """Passes each message to the component that handles it."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._clock = clock
 
     async def handle(self, frame: Frame) -> Frame:
-        """Answer one message."""
+        """Handle a message and return the reply."""
         payload = frame.WhichOneof("payload")
         if payload == "forward_request":
             with self._in_progress.one():
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -17,7 +17,7 @@
 
 
 class RouterObserver:
-    """Counts the requests of one router, and shows the state of its view and dispatchers."""
+    """Records the requests of a router, and exports gauges of its view and dispatchers."""
 
     def __init__(
         self, metrics: RouterMetrics, follower: ViewFollower, pool: DispatcherPool, clock: Clock
@@ -31,12 +31,12 @@
     def record_answer(
         self, request: CallerRequest, response: CallerResponse, started_s: float
     ) -> None:
-        """Note an answer to a request that came in at `started_s`."""
+        """Record the answer to a request that was received at `started_s`."""
         error_kind = "" if response.error is None else response.error.kind
         self._record(request, response.outcome.value, error_kind, started_s)
 
     def record_cancelled(self, request: CallerRequest, started_s: float) -> None:
-        """Note that the caller went away."""
+        """Record that the caller disconnected."""
         self._record(request, OUTCOME_CANCELLED, "", started_s)
 
     def _record(
@@ -63,7 +63,7 @@
         )
 
     def _labels(self, request: CallerRequest) -> tuple[str, str]:
-        """Return metric labels; names that callers make up must not make new time series."""
+        """Return the metric labels; names invented by callers must not create time series."""
         view = self._follower.latest
         if view is None or view.settings.resolve(request.service) is None:
             return _NO_NAME, _NO_NAME
@@ -71,13 +71,13 @@
 
     def _add_gauges(self) -> None:
         watch = self._metrics.watch
-        watch("queue_length", "Requests that wait for a slot.", self._queue_length)
-        watch("in_flight", "Requests sent to back ends and not answered.", self._in_flight)
+        watch("queue_length", "Requests queued for a slot.", self._queue_length)
+        watch("in_flight", "Requests sent to back ends and not yet answered.", self._in_flight)
         watch("view_version", "Version of the view.", self._view_version)
         watch("settings_version", "Version of the settings in force.", self._settings_version)
         watch(
             "view_lease_remaining_seconds",
-            "Time for which the view may be used.",
+            "Remaining time of the view's lease.",
             self._follower.lease_remaining_s,
         )
 
--- a/indigoworks/router/router_peer.py
+++ b/indigoworks/router/router_peer.py
@@ -1,4 +1,4 @@
-"""A router as another router's view knows it."""
+"""Another router, as listed in a router's view."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, order=True)
 class RouterPeer:
-    """One run of one router. `address` is that of its internal protocol."""
+    """A router process; `address` is that of its internal protocol."""
 
     name: str
     incarnation: str
@@ -17,7 +17,7 @@
 
 
 def router_peer(member: control_pb2.Member) -> RouterPeer:
-    """Return the peer of a member message."""
+    """Return the peer that a member message describes."""
     return RouterPeer(
         name=member.name,
         incarnation=member.incarnation,
--- a/indigoworks/router/router_ports.py
+++ b/indigoworks/router/router_ports.py
@@ -1,4 +1,4 @@
-"""What a router needs from outside."""
+"""External dependencies of a router."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class RouterPorts:
-    """Clock, the platform's machine list and object store, and the way to the back ends."""
+    """Clock, the platform's machine list and object store, and access to the back ends."""
 
     clock: Clock
     machines: MachineList
--- a/indigoworks/router/routing_view.py
+++ b/indigoworks/router/routing_view.py
@@ -1,4 +1,4 @@
-"""What a router knows about owners, servers, routers and settings at one version."""
+"""A consistent snapshot of owners, servers, routers and settings at one version."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True)
 class RoutingView:
-    """An immutable view; a change of anything makes a new one.
+    """Immutable view; every change creates a new one.
 
     :ivar generation: generation of the control group.
-    :ivar version: log index that the view stands at; grows within a generation.
+    :ivar version: log index of the view; increases within a generation.
     :ivar settings_version: version of the settings tree in force.
-    :ivar settings: values of that tree.
-    :ivar groups: names of the groups that the tree knows.
-    :ivar tables: ranges by service.
+    :ivar settings: resolves values from that tree.
+    :ivar groups: names of the groups in that tree.
+    :ivar tables: range table by service.
     :ivar servers: back ends by name.
     :ivar routers: live routers.
-    :ivar routers_version: hash of that list, as the controllers give it; 0: none given yet.
+    :ivar routers_version: hash of that list, computed by the controllers; 0: no list received.
     """
 
     generation: int
@@ -36,12 +36,12 @@
     routers_version: int = 0
 
     def assignment(self, service: str, place: int) -> RangeAssignment | None:
-        """Return the range of `service` that holds `place`, or None where there is none."""
+        """Return the range of `service` that contains `place`, or None."""
         table = self.tables.get(service)
         return None if table is None else table.find(place)
 
     def server(self, name: str, incarnation: str) -> ServerRecord | None:
-        """Return that run of the server, or None when it is unknown or lost."""
+        """Return the server if it is known, not lost and has that incarnation, else None."""
         record = self.servers.get(name)
         if record is None or record.incarnation != incarnation or record.is_lost:
             return None
--- a/indigoworks/router/sent_requests.py
+++ b/indigoworks/router/sent_requests.py
@@ -1,22 +1,21 @@
-"""Memory of the non-repeatable requests that were sent to back ends."""
+"""Ids of the non-repeatable requests that were sent to back ends."""
 
 from collections import OrderedDict
 
 from indigoworks.common.clock import Clock
 
 RETENTION_S = 300.0
-"""Seconds for which a request id is remembered."""
+"""Seconds for which a request id is kept."""
 
 MAX_ENTRIES = 100_000
-"""Request ids remembered at most; the oldest are forgotten first."""
+"""Maximum number of ids; the oldest are evicted first."""
 
 
 class SentRequests:
-    """Keeps one dispatcher from sending the same non-repeatable request twice.
+    """Prevents the dispatchers of a router from sending a non-repeatable request twice.
 
-    The memory is that of one process: it ends with it, after SENT_MEMORY_S, or when
-    SENT_MEMORY_ENTRIES newer ids have come. Nothing relies on it alone: no part of the system
-    sends a non-repeatable request again after it may have run.
+    Ids are kept in memory for RETENTION_S, unless MAX_ENTRIES newer ones evict them. This is
+    an additional safeguard: no component resends a non-repeatable request that may have run.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -24,7 +23,7 @@
         self._sent: OrderedDict[str, float] = OrderedDict()
 
     def claim(self, request_id: str) -> bool:
-        """Note that the request is about to be sent; False when it was sent before."""
+        """Record that the request is about to be sent; return False if it was sent before."""
         self._evict_old()
         if request_id in self._sent:
             return False
@@ -32,7 +31,7 @@
         return True
 
     def release(self, request_id: str) -> None:
-        """Note that the request provably did not run, so that it may be sent again."""
+        """Remove a request that provably did not run, so that it may be sent again."""
         self._sent.pop(request_id, None)
 
     def _evict_old(self) -> None:
--- a/indigoworks/router/server_record.py
+++ b/indigoworks/router/server_record.py
@@ -1,4 +1,4 @@
-"""A back end as a router's view knows it."""
+"""A back end, as listed in a router's view."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True)
 class ServerRecord:
-    """One run of one back end.
+    """A back-end process.
 
-    :ivar slots: requests that it runs at the same time.
-    :ivar connections: connections that it accepts.
-    :ivar is_lost: its lease lapsed; it serves nothing.
+    :ivar slots: number of requests that it runs concurrently.
+    :ivar connections: number of connections that it accepts.
+    :ivar is_lost: its lease has expired, so it serves no requests.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 def server_record(server: control_pb2.Server) -> ServerRecord:
-    """Return the record of a server message."""
+    """Return the record that a server message describes."""
     return ServerRecord(
         name=server.name,
         incarnation=server.incarnation,
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -1,4 +1,4 @@
-"""Requests of callers over HTTP."""
+"""HTTP handler of callers' requests."""
 
 import asyncio
 import math
@@ -25,11 +25,11 @@
 MAX_TIMEOUT_MS = 3_600_000
 
 REFUSED_BODY_BYTES = 64 * 1024 * 1024
-"""A refused body up to this size is read and thrown away, so that its caller gets the answer
-instead of a broken connection. A larger one is answered at once and its connection closed."""
+"""A refused body up to this size is read and discarded, so that the caller gets the answer instead
+of a broken connection. For a larger one the answer is sent at once and the connection closed."""
 
 BODY_TIMEOUT_S = 30.0
-"""Longest time for a body to arrive; then the connection is closed."""
+"""Timeout for receiving a body; then the connection is closed."""
 
 _VISIBLE_ASCII = re.compile(r"^[\x21-\x7e]{1,128}$")
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class CallerContext:
-    """What the handlers of one router share."""
+    """Dependencies shared by the handlers of a router."""
 
     router: Router
     handling: InProgress
@@ -46,12 +46,12 @@
 
 @stream_request_body
 class ServiceHandler(RequestHandler):
-    """METHOD /v1/SERVICE/KEY[/REST][?QUERY]."""
+    """Handles METHOD /v1/SERVICE/KEY[/REST][?QUERY]."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
     def initialize(self, context: CallerContext) -> None:
-        """Take the router."""
+        """Initialize the state of one request."""
         self._router = context.router
         self._handling = context.handling
         self._chunks: list[bytes] = []
@@ -63,7 +63,7 @@
         self._path = ServicePath("", b"")
 
     def prepare(self) -> None:
-        """Look at the headers before the body is read."""
+        """Validate the headers before the body is read."""
         self._request_id = self.request.headers.get(names.REQUEST_ID) or str(uuid.uuid4())
         if _VISIBLE_ASCII.match(self._request_id) is None:
             self._request_id = str(uuid.uuid4())
@@ -75,7 +75,7 @@
         self._refuse_announced_body()
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body, or throw it away when the request is refused anyway."""
+        """Store a chunk of the body, or discard it if the request is refused."""
         self._received_bytes += len(chunk)
         if self._received_bytes > self._limit_bytes:
             self._refuse_body(self._received_bytes)
@@ -83,7 +83,7 @@
             self._chunks.append(chunk)
 
     async def get(self) -> None:
-        """Answer a request whose body has been read; the same for every method."""
+        """Answer a request whose body has been read; every method is handled alike."""
         with self._handling.one():
             response = await self._response()
             if response is not None:
@@ -98,23 +98,23 @@
     options = get
 
     def on_connection_close(self) -> None:
-        """The caller went away: cancel its request."""
+        """Cancel the request: the caller disconnected."""
         if self._running is not None:
             self._running.cancel()
 
     def compute_etag(self) -> str | None:
-        """Add no ETag: answers are passed on as they are."""
+        """Add no ETag: answers are forwarded unchanged."""
         return None
 
     def check_xsrf_cookie(self) -> None:
-        """Callers are programs: there is no cookie to check."""
+        """Skip the check: callers are programs that send no cookies."""
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer a fault or an unsupported method."""
+        """Answer after an internal error or for an unsupported method."""
         if status_code == RouterFault.status or status_code >= 500:
             self._write_response(response_of_error(_fault()))
         else:
-            self._write_response(response_of_error(_bad_request("The method", "a known one")))
+            self._write_response(response_of_error(_bad_request("The method", "a supported one")))
             self.set_status(status_code)
         self.finish()
 
@@ -130,8 +130,8 @@
         if size_bytes <= self._limit_bytes:
             return
         self._refuse_body(size_bytes)
-        waits_for_leave = "Expect" in self.request.headers
-        if waits_for_leave or size_bytes > REFUSED_BODY_BYTES:
+        expects_continue = "Expect" in self.request.headers
+        if expects_continue or size_bytes > REFUSED_BODY_BYTES:
             self.set_header("Connection", "close")
             refusal = refusals.body_too_large(size_bytes, self._limit_bytes)
             self._write_response(response_of_error(refusal))
@@ -143,7 +143,7 @@
             self._refusal = refusals.body_too_large(size_bytes, self._limit_bytes)
 
     async def _response(self) -> CallerResponse | None:
-        """Return the answer, or None when the caller went away."""
+        """Return the answer, or None if the caller disconnected."""
         request = self._caller_request()
         if isinstance(request, Err):
             return response_of_error(request.unwrap_err())
@@ -211,5 +211,5 @@
 def _fault() -> RouterFault:
     return RouterFault(
         "The router failed on the request; it may have run.",
-        "Look up whether the request took effect, and see the router's log.",
+        "Check whether the request took effect, and see the router's log.",
     )
--- a/indigoworks/router/service_path.py
+++ b/indigoworks/router/service_path.py
@@ -1,4 +1,4 @@
-"""The path of a caller's request."""
+"""Parses the path of a caller's request."""
 
 import re
 from dataclasses import dataclass
--- a/indigoworks/router/service_time_estimate.py
+++ b/indigoworks/router/service_time_estimate.py
@@ -1,18 +1,18 @@
-"""Measured speed of a back end."""
+"""Estimate of a back end's service time."""
 
 from indigoworks.common.clock import Clock
 
 INITIAL_SERVICE_S = 0.02
-"""Assumed time of one request until the first one was measured."""
+"""Service time assumed until the first request was measured."""
 
 SMOOTHING = 0.1
 """Weight of the newest measurement in the moving average."""
 
 
 class ServiceTimeEstimate:
-    """Time that one request takes at a back end, from what the dispatcher measures.
+    """Moving average of the time a request takes at a back end, measured by its dispatcher.
 
-    The back end's own load reports lag and mislead, so they are not used.
+    The back end's own load reports are not used: they lag behind and can be wrong.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -23,15 +23,15 @@
         self._next_id = 0
 
     def start(self) -> int:
-        """Note that a request was sent; returns the id to finish it by."""
+        """Start measuring a request; returns the id to pass to `finish`."""
         self._next_id += 1
         self._started[self._next_id] = self._clock.now()
         return self._next_id
 
     def finish(self, measurement: int, is_served: bool) -> float:
-        """Note that a request ended.
+        """End a measurement.
 
-        :param is_served: the back end answered; a refusal says nothing of its speed.
+        :param is_served: the back end ran the request; a refusal does not change the estimate.
         :returns: seconds since the start.
         """
         elapsed_s = self._clock.now() - self._started.pop(measurement)
@@ -45,10 +45,10 @@
         return elapsed_s
 
     def service_s(self) -> float:
-        """Return the seconds that one request takes now.
+        """Return the current estimate, in seconds.
 
-        A back end that has stopped answering has no new measurements: the age of the youngest
-        request in progress then says that each takes at least so long.
+        A back end that has stopped answering yields no new measurements: the age of the youngest
+        request in progress is then a lower bound.
         """
         if not self._started:
             return self._average_s
--- a/indigoworks/router/view_errors.py
+++ b/indigoworks/router/view_errors.py
@@ -1,4 +1,4 @@
-"""Reasons for which a router does not apply the answer of a controller."""
+"""Errors for which a router does not apply a controller's view reply."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,34 +8,34 @@
 
 @dataclass(frozen=True)
 class ViewError(IndigoworksError):
-    """Base of the errors of following the view."""
+    """Base class of the errors of following the view."""
 
     kind: ClassVar[str] = "view"
 
 
 @dataclass(frozen=True)
 class OlderGeneration(ViewError):
-    """The controller answers for a generation that another one has replaced."""
+    """The reply belongs to an older generation than the router's view."""
 
     kind: ClassVar[str] = "older_generation"
 
 
 @dataclass(frozen=True)
 class OlderSettings(ViewError):
-    """The controller offers an older version of the settings tree than is in force here."""
+    """The reply contains older settings than those in force in this router."""
 
     kind: ClassVar[str] = "older_settings"
 
 
 @dataclass(frozen=True)
 class SnapshotNeeded(ViewError):
-    """The delta does not fit the view at hand."""
+    """The delta cannot be applied to the router's view."""
 
     kind: ClassVar[str] = "snapshot_needed"
 
 
 @dataclass(frozen=True)
 class UnreadableView(ViewError):
-    """The view contains what this version of the router cannot use."""
+    """The view contains data that this version of the router cannot parse."""
 
     kind: ClassVar[str] = "unreadable_view"
--- a/indigoworks/router/view_follower.py
+++ b/indigoworks/router/view_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the router's view current by a long poll of one controller."""
+"""Keeps the router's view up to date by long-polling a controller."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,22 +18,22 @@
 from indigoworks.wire.rpc_client import RpcClient
 
 POLL_TIMEOUT_S = 0.6
-"""Longest wait for one answer: the controller's hold of 0.25 s and a slow network path."""
+"""Timeout of one poll: the controller holds it for up to 0.25 s; the rest is network latency."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause after no controller answered."""
+"""Pause after all controllers have failed."""
 
 MAX_STALENESS_S = 1.0
-"""A controller whose own state was confirmed longer ago than this is left for the next one."""
+"""A controller whose own state was confirmed longer ago than this is abandoned for the next."""
 
 MAX_FALLBACK_POLLS = 60
-"""Polls of a controller that is not the first choice, before the first choice is tried again."""
+"""Number of polls at a fallback controller before the first choice is tried again."""
 
 
 class ViewFollower:
-    """Follows the view at one controller and moves on to the next when it fails.
+    """Polls the view from one controller and fails over to the next.
 
-    The view is in force only while its lease is valid; see ViewLease.
+    The view is in force, that is may be acted upon, only while its lease is valid; see ViewLease.
     """
 
     def __init__(
@@ -57,30 +57,30 @@
 
     @property
     def latest(self) -> RoutingView | None:
-        """Return the newest view, whether its lease is valid or not."""
+        """Newest view, even if its lease has expired."""
         return self._view
 
     def in_force(self) -> RoutingView | None:
-        """Return the view if it may be acted upon now."""
+        """Return the view if its lease is valid, else None."""
         return self._view if self._lease.is_valid(self._clock.now()) else None
 
     def lease_remaining_s(self) -> float:
-        """Return the seconds for which the view may still be used."""
+        """Return the remaining seconds of the view's lease."""
         return self._lease.remaining_s(self._clock.now())
 
     def stop_dispatching(self) -> None:
-        """Poll on, but no longer as a router that others may choose as dispatcher."""
+        """Continue polling, but no longer as a router that others may select as dispatcher."""
         self._is_router = False
 
     def set_initial_view(self, view: RoutingView | None) -> None:
-        """Begin with a view that is not in force; polls then ask only for what is newer."""
+        """Set a view that is not yet in force; polls then request only later changes."""
         if self._view is None:
             self._view = view
 
     async def wait_until(
         self, condition: Callable[[RoutingView], bool], timeout_s: float
     ) -> RoutingView | None:
-        """Wait for a view in force that fulfils `condition`; None after `timeout_s` seconds."""
+        """Wait for a view in force that satisfies `condition`; None after `timeout_s` seconds."""
         present = self.in_force()
         if present is not None and condition(present):
             return present
@@ -96,14 +96,14 @@
             return None
 
     async def next_change(self) -> RoutingView:
-        """Wait for the next newer view; changes that come close together may be seen as one."""
+        """Wait for the next newer view; changes in quick succession may be returned as one."""
         await self._changed.wait()
         if self._view is None:
-            raise AssertionError("a change without a view")
+            raise AssertionError("the view changed but is not set")
         return self._view
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the view until cancelled."""
         while True:
             has_answer = False
             for address in self._directory.candidates():
@@ -114,7 +114,7 @@
                 await self._clock.sleep(RETRY_PAUSE_S)
 
     async def _follow(self, address: Address) -> bool:
-        """Poll one controller until it fails, or until it is time to try a better one.
+        """Poll a controller until it fails or the first choice is due to be tried again.
 
         :returns: whether it answered at least once.
         """
@@ -130,7 +130,7 @@
         return polls > 0
 
     def _is_first(self, address: Address) -> bool:
-        # Asked anew each time: the machine list may come in later than the first poll.
+        # Not cached: the machine list may be read only after the first poll.
         return self._directory.candidates()[:1] == (address,)
 
     async def _poll(self, client: RpcClient) -> bool:
@@ -142,7 +142,7 @@
             return False
         frame = answered.unwrap()
         if frame.WhichOneof("payload") != "view_reply":
-            self._log_failure(client.address, "it answered with another message")
+            self._log_failure(client.address, "it sent an unexpected message")
             return False
         return self._apply(frame.view_reply, asked_at_s, client.address)
 
@@ -164,24 +164,24 @@
         return request
 
     def _apply(self, reply: control_pb2.ViewReply, asked_at_s: float, address: Address) -> bool:
-        """Apply a reply; False when the next controller should be asked."""
+        """Apply a reply; return False if the next controller should be polled."""
         updated = updated_view(self._view, reply)
         if isinstance(updated, Err):
             error = updated.unwrap_err()
             self._log_failure(address, error.message)
             if isinstance(error, OlderGeneration):
                 return False
-            # A second misfit in a row means that this controller cannot give a whole view.
-            is_first_misfit = not self._needs_snapshot
+            # A second mismatch in a row: this controller does not send a usable snapshot.
+            is_first_mismatch = not self._needs_snapshot
             self._needs_snapshot = isinstance(error, SnapshotNeeded)
-            return is_first_misfit and self._needs_snapshot
+            return is_first_mismatch and self._needs_snapshot
         self._needs_snapshot = False
         self._put_in_force(updated.unwrap(), asked_at_s, reply.staleness_s)
         return reply.staleness_s <= MAX_STALENESS_S
 
     def _put_in_force(self, view: RoutingView, asked_at_s: float, staleness_s: float) -> None:
-        # An own view that is newer than the sender's holds all that the sender had confirmed, so
-        # the sender's confirmation covers it as well.
+        # A local view that is newer than the controller's contains everything that the controller
+        # has confirmed, so the confirmation also covers it.
         self._lease.renew(asked_at_s, staleness_s)
         is_change = view is not self._view
         self._view = view
--- a/indigoworks/router/view_update.py
+++ b/indigoworks/router/view_update.py
@@ -1,4 +1,4 @@
-"""Applying a controller's answer to a routing view."""
+"""Applies a controller's reply to a routing view."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -26,9 +26,9 @@
 def updated_view(
     view: RoutingView | None, reply: control_pb2.ViewReply
 ) -> Result[RoutingView, ViewError]:
-    """Return the view after `reply`; the same one when the reply brings nothing newer.
+    """Return the view updated by `reply`; the same object if the reply contains nothing newer.
 
-    The version never goes back within a generation, and the generation never goes back.
+    The generation never decreases, nor does the version within a generation.
     """
     if view is not None and reply.generation < view.generation:
         return Err(_older_generation(view, reply))
@@ -38,7 +38,7 @@
     if reply.HasField("snapshot"):
         return _from_snapshot(view, reply)
     if view is None or not is_same_generation:
-        return Err(_snapshot_needed("no view of this generation is held"))
+        return Err(_snapshot_needed("the router has no view of this generation"))
     if reply.HasField("delta"):
         return _from_delta(view, reply)
     return Ok(replace(_with_routers(view, reply), version=reply.version))
@@ -57,7 +57,7 @@
         return Err(_unreadable(str(error)))
     if view is not None and snapshot.settings_version < view.settings_version:
         return Err(_older_settings(view, snapshot.settings_version))
-    is_same_list = view is not None and reply.routers_version == view.routers_version
+    is_same_router_list = view is not None and reply.routers_version == view.routers_version
     return Ok(
         RoutingView(
             generation=reply.generation,
@@ -67,7 +67,7 @@
             groups=frozenset(tree.unwrap().groups),
             tables=tables,
             servers=_servers({}, snapshot.servers),
-            routers=view.routers if view is not None and is_same_list else _routers(reply),
+            routers=view.routers if view is not None and is_same_router_list else _routers(reply),
             routers_version=reply.routers_version,
         )
     )
@@ -112,10 +112,10 @@
 def _changed_tables(
     tables: Mapping[str, RangeTable], changes: Iterable[control_pb2.ChangeRanges]
 ) -> Result[Mapping[str, RangeTable], ViewError]:
-    """Apply the changes in order; each only if its expected records stand as given."""
+    """Apply the changes in order; fails if a table differs from the expected ranges."""
     current = dict(tables)
     for change in changes:
-        for service, (expected, replacement) in _sides_by_service(change).items():
+        for service, (expected, replacement) in _ranges_by_service(change).items():
             table = current.get(service, RangeTable()).replaced(expected, replacement)
             if table is None:
                 return Err(_snapshot_needed(f"ranges of {service} differ"))
@@ -123,20 +123,20 @@
     return Ok(current)
 
 
-def _sides_by_service(
+def _ranges_by_service(
     change: control_pb2.ChangeRanges,
 ) -> dict[str, tuple[list[RangeAssignment], list[RangeAssignment]]]:
-    """Return expected and replacement ranges of each service that the change concerns."""
-    sides: dict[str, tuple[list[RangeAssignment], list[RangeAssignment]]] = {}
+    """Return the expected and replacement ranges of a change, by service."""
+    ranges: dict[str, tuple[list[RangeAssignment], list[RangeAssignment]]] = {}
     for record in change.expected:
-        sides.setdefault(record.service, ([], []))[0].append(range_assignment(record))
+        ranges.setdefault(record.service, ([], []))[0].append(range_assignment(record))
     for record in change.replacement:
-        sides.setdefault(record.service, ([], []))[1].append(range_assignment(record))
-    return sides
+        ranges.setdefault(record.service, ([], []))[1].append(range_assignment(record))
+    return ranges
 
 
 def range_assignment(record: control_pb2.RangeRecord) -> RangeAssignment:
-    """Return the assignment of a range message."""
+    """Return the assignment that a range message describes."""
     return RangeAssignment(
         service=record.service,
         start=record.start,
@@ -164,7 +164,7 @@
 
 
 def _with_routers(view: RoutingView, reply: control_pb2.ViewReply) -> RoutingView:
-    """Take the list of live routers, which travels only when it changed."""
+    """Update the list of live routers, which is sent only if it has changed."""
     if reply.routers_version == view.routers_version:
         return view
     return replace(view, routers=_routers(reply), routers_version=reply.routers_version)
@@ -186,7 +186,7 @@
 def _older_generation(view: RoutingView, reply: control_pb2.ViewReply) -> OlderGeneration:
     return OlderGeneration(
         f"A controller answered for generation {reply.generation}, "
-        f"but generation {view.generation} stands.",
+        f"but generation {view.generation} is current.",
         "Restart that controller if it does not join the newer generation by itself.",
     )
 
@@ -200,8 +200,8 @@
 
 def _snapshot_needed(reason: str) -> SnapshotNeeded:
     return SnapshotNeeded(
-        f"A view delta does not fit: {reason}.",
-        "Nothing needs to be done: the router asks for the whole view.",
+        f"A view delta cannot be applied: {reason}.",
+        "Nothing needs to be done: the router requests the complete view.",
     )
 
 
