--- a/features/steps/gateway_balancer_steps.py
+++ b/features/steps/gateway_balancer_steps.py
@@ -9,7 +9,7 @@
 from indigoworks.ownership.group_load import GroupLoad
 from indigoworks.ownership.load_balancer import HIGH_UTILISATION, LoadBalancer
 from indigoworks.ownership.load_window import LoadWindow
-from indigoworks.ownership.moves_by_load import even_moves, urgent_moves
+from indigoworks.ownership.moves_by_load import overload_moves, rebalance_moves
 from indigoworks.ownership.server_capacity import ServerCapacity
 from indigoworks.ownership.table_editor import first_table, with_moves, without_former
 
@@ -50,7 +50,7 @@
 def step_hot_range(context):
     keys = [FIRST_OF_B + 10 + number % 60 for number in range(200)]
     made = window(keys)
-    moves = LoadBalancer(TABLE, made).moves_for_balance(capacities(), HIGH_UTILISATION)
+    moves = LoadBalancer(TABLE, made).overload_moves(capacities(), HIGH_UTILISATION)
     assert moves and all(each.from_server == "b" for each in moves), moves
     after = with_moves(TABLE, moves)
     assert load_of(after, made, "b") <= 0.65 * len(keys), moves
@@ -60,7 +60,7 @@
 def step_several(context):
     keys = [FIRST_OF_B + 10 + number % 60 for number in range(400)]
     made = window(keys)
-    moves = LoadBalancer(TABLE, made).moves_for_balance(capacities(), HIGH_UTILISATION)
+    moves = LoadBalancer(TABLE, made).overload_moves(capacities(), HIGH_UTILISATION)
     after = with_moves(TABLE, moves)
     loads = {each: load_of(after, made, each) / len(keys) for each in SERVERS}
     assert max(loads.values()) <= 0.35, (loads, moves)
@@ -80,9 +80,9 @@
         clock.at_s = tick / 10
         keys = [*calm, *hot] if tick >= 60 else calm
         peers.add_samples([KeySample("shop", tuple(keys), len(keys))])
-        load.take_samples(["shop"])
+        load.collect_samples(["shop"])
     servers = [ServerCapacity(each, 6, 60.0) for each in SERVERS]
-    after = with_moves(TABLE, urgent_moves(TABLE, load, servers))
+    after = with_moves(TABLE, overload_moves(TABLE, load, servers))
     of_b = load_of(after, load.burst("shop"), "b")
     assert of_b <= 0.6 * load_of(TABLE, load.burst("shop"), "b"), after.ranges
 
@@ -91,7 +91,7 @@
 def step_hot_key(context):
     key = FIRST_OF_B + 77
     made = window([key] * 150)
-    moves = LoadBalancer(TABLE, made).moves_for_balance(
+    moves = LoadBalancer(TABLE, made).overload_moves(
         capacities(a=2.0, b=2.0, d=2.0), HIGH_UTILISATION
     )
     assert [(each.first, each.last, each.to_server) for each in moves] == [(key, key, "c")], moves
@@ -102,7 +102,7 @@
     key = FIRST_OF_B + 77
     beside = [FIRST_OF_B + 300 + number for number in range(60)]
     made = window([key] * 150 + beside)
-    moves = LoadBalancer(TABLE, made).moves_for_balance(capacities(), HIGH_UTILISATION)
+    moves = LoadBalancer(TABLE, made).overload_moves(capacities(), HIGH_UTILISATION)
     assert moves and not any(each.first <= key <= each.last for each in moves), moves
 
 
@@ -110,8 +110,8 @@
 def step_idle(context):
     made = window([FIRST_OF_B + number for number in range(12)])
     balancer = LoadBalancer(TABLE, made)
-    assert not balancer.moves_for_balance(capacities(), HIGH_UTILISATION)
-    assert not balancer.moves_for_evenness(capacities())
+    assert not balancer.overload_moves(capacities(), HIGH_UTILISATION)
+    assert not balancer.rebalance_moves(capacities())
 
 
 @then("gateway balancer: a clearly slower server gives keys away while others have room")
@@ -119,9 +119,9 @@
     keys = [each.first + number * 7 for each in TABLE.ranges for number in range(30)]
     made = window(keys)
     slow = capacities(b=2.5)
-    moves = LoadBalancer(TABLE, made).moves_for_evenness(slow)
+    moves = LoadBalancer(TABLE, made).rebalance_moves(slow)
     assert moves and all(each.from_server == "b" for each in moves), moves
-    assert not LoadBalancer(TABLE, made).moves_for_evenness(capacities(b=1.2))
+    assert not LoadBalancer(TABLE, made).rebalance_moves(capacities(b=1.2))
 
 
 @then("gateway balancer: of 60 busy servers the slow ones are relieved within four decisions")
@@ -145,7 +145,7 @@
 
     assert most_used() > 0.95
     for _ in range(4):
-        moves = LoadBalancer(table, made).moves_for_evenness(servers)
+        moves = LoadBalancer(table, made).rebalance_moves(servers)
         table = without_former(with_moves(table, moves), table.ranges)
         table = replace(table, ranges=tuple(replace(each, former=()) for each in table.ranges))
     assert most_used() < 0.9, most_used()
@@ -155,7 +155,7 @@
 def step_leaver(context):
     made = window([FIRST_OF_B + number for number in range(40)])
     stayers = [each for each in capacities() if each.server_id != "b"]
-    moves = LoadBalancer(TABLE, made).moves_of_leavers({"b": "leaving"}, stayers)
+    moves = LoadBalancer(TABLE, made).drain_moves({"b": "leaving"}, stayers)
     after = with_moves(TABLE, moves)
     assert not after.ranges_of("b"), after.ranges
     assert len({each.to_server for each in moves}) > 1, moves
@@ -167,9 +167,9 @@
     others = [TABLE.ranges_of(each)[0].first + number for each in "ad" for number in range(30)]
     made = window([*hot, *others])
     balancer = LoadBalancer(TABLE, made)
-    moves = balancer.moves_for_balance(capacities(c=2.5), HIGH_UTILISATION)
+    moves = balancer.overload_moves(capacities(c=2.5), HIGH_UTILISATION)
     assert {each.to_server for each in moves} == {"a", "d"}, moves
-    leavers = balancer.moves_of_leavers({"b": "leaving"}, capacities(c=2.5)[2:])
+    leavers = balancer.drain_moves({"b": "leaving"}, capacities(c=2.5)[2:])
     assert {each.to_server for each in leavers if each.first > FIRST_OF_B + 70} <= {"c", "d"}
     assert any(each.to_server == "d" for each in leavers), leavers
 
@@ -178,13 +178,13 @@
 def step_hot_key_stays(context):
     key = FIRST_OF_B + 77
     made = window([key] * 150)
-    moves = LoadBalancer(TABLE, made).moves_for_balance(capacities(b=2.0), HIGH_UTILISATION)
+    moves = LoadBalancer(TABLE, made).overload_moves(capacities(b=2.0), HIGH_UTILISATION)
     moved = with_moves(TABLE, moves)
     table = without_former(moved, moved.ranges)
     owner = next(each.server_id for each in table.ranges if each.holds(key))
     balancer = LoadBalancer(table, made)
-    assert not balancer.moves_for_balance(capacities(**{owner: 1.8}), HIGH_UTILISATION)
-    again = balancer.moves_for_balance(capacities(**{owner: 4.0}), HIGH_UTILISATION)
+    assert not balancer.overload_moves(capacities(**{owner: 1.8}), HIGH_UTILISATION)
+    again = balancer.overload_moves(capacities(**{owner: 4.0}), HIGH_UTILISATION)
     assert [(each.first, each.last) for each in again] == [(key, key)], again
 
 
@@ -194,13 +194,13 @@
     clock = SetClock()
     peers = PeerTable(clock)
     load = GroupLoad(peers, clock)
-    load.take_samples(["shop"])
+    load.collect_samples(["shop"])
     moves = {}
     for tick in range(50):
         clock.at_s = 10 + tick / 10
         keys = [each.first + 7 * tick for each in TABLE.ranges]
         peers.add_samples([KeySample("shop", tuple(keys), len(keys))])
-        load.take_samples(["shop"])
-        moves[tick] = even_moves(TABLE, load, capacities(b=2.5))
+        load.collect_samples(["shop"])
+        moves[tick] = rebalance_moves(TABLE, load, capacities(b=2.5))
     assert not any(moves[tick] for tick in range(35)), moves
     assert moves[49], moves
--- a/features/steps/gateway_challenge_steps.py
+++ b/features/steps/gateway_challenge_steps.py
@@ -12,7 +12,7 @@
 from indigoworks.exchange.peer_directory import PEER_PREFIX, PeerDirectory, encode_peer
 from indigoworks.exchange.peer_report import PeerReport
 from indigoworks.exchange.peer_table import PeerTable
-from indigoworks.ownership.challenge_order import ChallengeOrder
+from indigoworks.ownership.challenge_delay import ChallengeDelay
 from indigoworks.rowstore.row import Row
 
 DRAWS = 50
@@ -39,7 +39,7 @@
             address = PeerAddress(node, "b", "z", Address("127.0.0.1", number), cores)
             row = Row("t", "", PEER_PREFIX + node, encode_peer(address), at(number))
             self.directory.apply([row])
-        self.order = ChallengeOrder(
+        self.order = ChallengeDelay(
             name, capacities[name], self.peers, self.directory, Random(f"challenge {name}")
         )
 
@@ -98,8 +98,8 @@
     own = context.challengers.pop(name)
     others = [wait_s for each in context.challengers.values() for wait_s in each.waits(LOST)]
     assert min(own.waits(LOST)) >= max(others) + extra_s - 0.15
-    assert not own.order.is_first()
-    assert all(each.order.is_first() for each in context.challengers.values())
+    assert not own.order.may_skip_delay()
+    assert all(each.order.may_skip_delay() for each in context.challengers.values())
 
 
 @then("gateway challenger {name} waits no longer than {limit_s:g} s")
@@ -110,7 +110,7 @@
 @when("{count:d} challenges of gateway challenger {name} get no answer")
 def step_no_answer(context, count, name):
     for _ in range(count):
-        context.challengers[name].order.note(is_failed=True)
+        context.challengers[name].order.record_outcome(is_failed=True)
 
 
 @then(
@@ -121,7 +121,7 @@
     challenger = context.challengers[name]
     waits = challenger.waits(LOST)
     assert longest_s / 2 < max(waits) <= longest_s + 0.15, waits
-    challenger.order.note(is_failed=False)
+    challenger.order.record_outcome(is_failed=False)
     assert max(challenger.waits(LOST)) <= 0.15
 
 
@@ -154,7 +154,7 @@
                 context.challenge_first, context.challenge_first_end_s = name, busy[0]
         else:
             order = context.challengers[name].order
-            order.note(is_failed=True)
+            order.record_outcome(is_failed=True)
             due.append((at_s + order.wait_s(LOST), name))
 
 
--- a/features/steps/gateway_control_steps.py
+++ b/features/steps/gateway_control_steps.py
@@ -95,14 +95,14 @@
 def step_leave_unanswered(context, name):
     world = context.control
     world.orders.lost_releases = 1
-    note = world.reach.note
+    record_result = world.reach.record_result
     context.control_results = []
 
-    def note_and_keep(server_id, result, *sender):
+    def record_and_keep(server_id, result, *sender):
         context.control_results.append((server_id, result))
-        note(server_id, result, *sender)
+        record_result(server_id, result, *sender)
 
-    world.reach.note = note_and_keep
+    world.reach.record_result = record_and_keep
     step_leave(context, name)
 
 
--- a/features/steps/gateway_control_world.py
+++ b/features/steps/gateway_control_world.py
@@ -10,7 +10,7 @@
 from indigoworks.common.clock import LoopClock
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_table import PeerTable
-from indigoworks.ownership.challenge_order import ChallengeOrder
+from indigoworks.ownership.challenge_delay import ChallengeDelay
 from indigoworks.ownership.control_group import CONTROL_TABLE, ControlGroup, part_of
 from indigoworks.ownership.group_leader import GroupLeader
 from indigoworks.ownership.group_member import GroupMember
@@ -151,7 +151,7 @@
             self.peers,
             self.directory,
             self.clock,
-            ChallengeOrder("n1", 1.0, self.peers, self.directory, Random(1)),
+            ChallengeDelay("n1", 1.0, self.peers, self.directory, Random(1)),
         )
         self.policy = HoldPolicy(self.health, HOLD_MAX_S)
         self.reach = ServerReach(self.clock)
@@ -165,7 +165,7 @@
             self.clock,
             self.take_rows,
             self.take_rows,
-            self.leadership.note_proof,
+            self.leadership.record_proof,
         )
 
     def take_rows(self, rows):
--- a/features/steps/gateway_hub_steps.py
+++ b/features/steps/gateway_hub_steps.py
@@ -195,10 +195,10 @@
 
 
 @then("everyone in the hub world has heard that the earlier leader follows the later epoch")
-def step_acts_no_more(context):
+def step_has_stopped_acting(context):
     for node in context.hub_world.awake():
         if node.name != context.hub_earlier:
-            assert node.signs.acts_no_more(context.hub_earlier, "b1", 1), node.name
+            assert node.signs.has_stopped_acting(context.hub_earlier, "b1", 1), node.name
 
 
 @then("the leader of the hub world has the samples of all")
--- a/features/steps/gateway_hub_world.py
+++ b/features/steps/gateway_hub_world.py
@@ -16,7 +16,7 @@
 from indigoworks.exchange.peer_table import PeerTable
 from indigoworks.exchange.report_sender import ReportSender, ReportSource
 from indigoworks.exchange.server_load import ServerLoad, server_checksum
-from indigoworks.ownership.leader_signs import LeaderSigns
+from indigoworks.ownership.leader_liveness import LeaderLiveness
 from indigoworks.rowstore.row import Row
 
 SERVERS = ("s1", "s2", "s3", "s4")
@@ -46,12 +46,12 @@
         self.samples, self.leader_known = (), world.leader
         self.table = PeerTable(world.clock, name)
         self.directory = PeerDirectory(name)
-        self.signs = LeaderSigns(self.table, self.directory, world.clock)
+        self.signs = LeaderLiveness(self.table, self.directory, world.clock)
         self.address = Address(name, 1)
         self.choice = HubChoice(
             name, zone, capacity, self.directory, self.table, self.leader_node, world.clock
         )
-        source = ReportSource(self.make, lambda: True, self.signs.note, self.leader_node)
+        source = ReportSource(self.make, lambda: True, self.signs.record_report, self.leader_node)
         self.sender = ReportSender(
             zone, self.directory, self.table, self.choice, source, self.transmit
         )
--- a/features/steps/gateway_limit_placement_steps.py
+++ b/features/steps/gateway_limit_placement_steps.py
@@ -37,7 +37,7 @@
 
 
 def moves_for(made, servers):
-    return LoadBalancer(TABLE, made).moves_for_balance(servers, HIGH_UTILISATION)
+    return LoadBalancer(TABLE, made).overload_moves(servers, HIGH_UTILISATION)
 
 
 @then("gateway limits: a server gives away what exceeds its limit, and keeps what it can serve")
@@ -66,7 +66,7 @@
 def step_not_slow(context):
     """It is asked for a quarter of what it takes, which is less than half of what it can do."""
     balancer = LoadBalancer(TABLE, window(spread_keys(2.0)))
-    assert not balancer.moves_for_evenness(capacities(b=8.0))
+    assert not balancer.rebalance_moves(capacities(b=8.0))
 
 
 @then("gateway limits: a limit above what a server can do changes nothing")
--- a/features/steps/gateway_owner_bound_steps.py
+++ b/features/steps/gateway_owner_bound_steps.py
@@ -60,7 +60,7 @@
 def bound_of(world):
     """Return the bound of the leader of epoch 4, "n2"."""
     row = LeaderRow(4, "n2", "boot-9", at(7))
-    return PredecessorBound(row, world.leadership.signs)
+    return PredecessorBound(row, world.leadership.liveness)
 
 
 @then("gateway owner proofs: what a leader waits for is in the bound of who follows it")
@@ -78,12 +78,12 @@
 @then("gateway owner proofs: an order sent right before the last beat is in the next bound")
 def step_under_way(context):
     _, bounds, owned = make_bounds()
-    bounds.open(owned, HOLD_S, 0.8)
+    bounds.record_sent(owned, HOLD_S, 0.8)
     world = ProofWorld("a")
     world.hear(1, "boot-9", 4, hold_s=bounds.longest_left_s())
     world.clock._now_s += 0.05
     world.hear(2, "boot-9", 5)
-    assert bound_of(world).acts_no_more()
+    assert bound_of(world).has_stopped_acting()
     left_s = bound_of(world).until_s(world.clock.now(), HOLD_MAX_S) - world.clock.now()
     assert left_s >= LATE_S + HOLD_S, left_s
 
@@ -134,7 +134,7 @@
     world.hear(9, "boot-8", 3)
     world.hear(1, "boot-9", 4, hold_s=HOLD_S)
     world.hear(10, "boot-8", 3, age_s=0.9)
-    assert not bound_of(world).acts_no_more()
+    assert not bound_of(world).has_stopped_acting()
 
 
 @then("gateway owner proofs: a node is heard on after a late report of a life that was never heard")
@@ -144,8 +144,8 @@
     world.hear(10, "boot-8", 3, age_s=0.9)
     world.clock._now_s += 1.0
     world.hear(2, "boot-9", 4, hold_s=HOLD_S)
-    assert world.leadership.signs.beat_age_s(4) == 0.0, world.leadership.signs.beat_age_s(4)
-    assert not bound_of(world).acts_no_more()
+    assert world.leadership.liveness.beat_age_s(4) == 0.0, world.leadership.liveness.beat_age_s(4)
+    assert not bound_of(world).has_stopped_acting()
 
 
 @then("gateway owner proofs: an answer that was under way arms no leader that resigns")
--- a/features/steps/gateway_owner_lines_steps.py
+++ b/features/steps/gateway_owner_lines_steps.py
@@ -15,10 +15,10 @@
 
 from indigoworks.cli.exit_code import ExitCode
 from indigoworks.cli.main import main
-from indigoworks.ownership.hold_bounds import LATE_ORDER_S
+from indigoworks.ownership.hold_bounds import MAX_ORDER_DELAY_S
 from indigoworks.ownership.leader_row import LeaderRow
+from indigoworks.ownership.log_throttle import LINE_PERIOD_S
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
-from indigoworks.ownership.paced_line import LINE_PERIOD_S
 from indigoworks.rowstore.store_version import NO_VERSION
 from indigoworks.servers.replacement_sign import ReplacementSign
 
@@ -114,7 +114,7 @@
     """Nobody listens at its address, and its entry goes."""
     context.owners.orders.outcomes["a"] = OrderOutcome(OrderResult.REFUSED_CONNECTION)
     context.owners.servers.remove("a")
-    context.run_async(context.owners.pass_on(LATE_ORDER_S + 2 * HOLD_S, is_proved=True))
+    context.run_async(context.owners.pass_on(MAX_ORDER_DELAY_S + 2 * HOLD_S, is_proved=True))
 
 
 @when('the gateway owner lines take "a" for gone by {answer}')
--- a/features/steps/gateway_owner_lines_world.py
+++ b/features/steps/gateway_owner_lines_world.py
@@ -53,17 +53,17 @@
         self.name_leader(LeaderRow(EPOCH, "n1", "boot-2", NO_VERSION), 10)
         self.prove()
         self.bounds.start_epoch(float("-inf"))
-        before = PredecessorBound(NO_LEADER, self.leadership.signs)
+        before = PredecessorBound(NO_LEADER, self.leadership.liveness)
         self.leadership.start_acting(EPOCH, before, self.bounds, self.reach.orders)
-        self.bounds.open(self.held, HOLD_S, TIMEOUT_S)
-        self.bounds.close_answered(self.held, HOLD_S)
+        self.bounds.record_sent(self.held, HOLD_S, TIMEOUT_S)
+        self.bounds.record_answered(self.held, HOLD_S)
 
     def name_leader(self, row, version):
         value = row.encode()
         self.leadership.apply([Row(CONTROL_TABLE, part_of(0), LEADER_KEY, value, at(version))])
 
     def prove(self):
-        self.leadership.note_proof(self.clock.now())
+        self.leadership.record_proof(self.clock.now())
 
     def act_nevertheless(self):
         """Break the rule that a leader asks before each order whether it may act."""
@@ -93,7 +93,7 @@
         for _ in range(max(1, round(duration_s / STEP_S))):
             if is_proved:
                 self.prove()
-            self.bounds.drop_past()
+            self.bounds.drop_expired()
             await self.clock.advance(STEP_S)
         keeper.stop()
 
--- a/features/steps/gateway_owner_outage_steps.py
+++ b/features/steps/gateway_owner_outage_steps.py
@@ -61,7 +61,7 @@
     def tell(self, is_pending):
         self.epoch += 1
         pending = (PendingRange("shop", 0, LAST, self.token),) if is_pending else ()
-        self.tables.note_beat(LeaderBeat(self.epoch, 0.0, 0.0, pending))
+        self.tables.apply_beat(LeaderBeat(self.epoch, 0.0, 0.0, pending))
         self.queue.capacity_changed()
 
     def take(self, what):
--- a/features/steps/gateway_owner_proof_world.py
+++ b/features/steps/gateway_owner_proof_world.py
@@ -88,7 +88,7 @@
         """Have an answer of the store come in, with all rows."""
         rows = self.store.answer(self.store.rows.values()).unwrap()
         self.take_rows(rows.rows)
-        self.leadership.note_proof(rows.true_at_s)
+        self.leadership.record_proof(rows.true_at_s)
 
     async def lead(self, predecessor=NO_LEADER):
         self.leading = asyncio.ensure_future(self.make_leader().run(predecessor))
@@ -114,4 +114,4 @@
             leader = LeaderBeat(epoch, **{"proof_age_s": 0.0, "pending": (), **beat}, hold_s=hold_s)
         report = PeerReport("n2", boot, sequence, epoch, 0.0, leader, (), (), 0)
         if self.peers.note(report, age_s):
-            self.leadership.signs.note(report)
+            self.leadership.liveness.record_report(report)
--- a/features/steps/gateway_ownership_steps.py
+++ b/features/steps/gateway_ownership_steps.py
@@ -158,14 +158,14 @@
         random, made = Random(seed), []
         keepers = KeeperSet(lambda *args: made.append(FakeKeeper(*args)) or made[-1])
         table = start(random)
-        keepers.keep("shop", table)
+        keepers.update("shop", table)
         for _ in range(5):
             for each in made:
                 each.is_granted |= random.random() < 0.7
             held = [each for each in made if each.is_granted and not each.is_stopped]
             before = {each.owned for each in made if not each.is_stopped}
             table, _ = random_change(random, table)
-            keepers.keep("shop", table)
+            keepers.update("shop", table)
             live = [each for each in made if not each.is_stopped]
             assert sorted(each.owned.first for each in live) == [x.first for x in table.ranges]
             assert {each.owned for each in live} == set(table.ranges)
@@ -181,9 +181,11 @@
     made = []
     keepers = KeeperSet(lambda *args: made.append(FakeKeeper(*args)) or made[-1])
     pieces = (OwnedRange(0, 99, "a", 4), OwnedRange(100, KEY_COUNT - 1, "a", 4))
-    keepers.keep("shop", OwnershipTable("shop", pieces, 4, at(1)))
+    keepers.update("shop", OwnershipTable("shop", pieces, 4, at(1)))
     made[0].is_granted = True
-    keepers.keep("shop", OwnershipTable("shop", (OwnedRange(0, KEY_COUNT - 1, "a", 4),), 4, at(2)))
+    keepers.update(
+        "shop", OwnershipTable("shop", (OwnedRange(0, KEY_COUNT - 1, "a", 4),), 4, at(2))
+    )
     assert not made[2].is_granted
 
 
@@ -203,10 +205,10 @@
 def answered(context):
     clock, bounds, owned = make_bounds()
     grant(clock, bounds, owned)
-    bounds.close_answered(owned, HOLD_S)
+    bounds.record_answered(owned, HOLD_S)
     left_s = bounds.until_s("a", 150, 150) - clock.now()
     # The server's clock may run 2 % slow: that is the users' figure.
-    assert HOLD_S * 1.02 <= left_s <= HOLD_S * 1.02 + hold_bounds.MARGIN_S + 1e-9, left_s
+    assert HOLD_S * 1.02 <= left_s <= HOLD_S * 1.02 + hold_bounds.SEND_MARGIN_S + 1e-9, left_s
     assert bounds.until_s("b", 150, 150) == bounds.until_s("a", 200, 300) == float("-inf")
     assert bounds.until_s("a", 199, 300) == bounds.until_s("a", 0, 100) > clock.now()
 
@@ -215,17 +217,17 @@
 def unanswered(context):
     clock, bounds, owned = make_bounds()
     sent_s = clock.now()
-    late_s = sent_s + hold_bounds.LATE_ORDER_S + HOLD_S * 1.02
+    late_s = sent_s + hold_bounds.MAX_ORDER_DELAY_S + HOLD_S * 1.02
     grant(clock, bounds, owned)
     assert bounds.until_s("a", 150, 150) >= late_s
-    bounds.close_unanswered(owned)
+    bounds.record_unanswered(owned)
     assert bounds.until_s("a", 150, 150) >= late_s
     grant(clock, bounds, owned)
-    bounds.close_answered(owned, HOLD_S)
+    bounds.record_answered(owned, HOLD_S)
     # An answer to a later grant says nothing about the one that had none.
     assert bounds.until_s("a", 150, 150) >= late_s
     grant(clock, bounds, owned)
-    bounds.close_not_taken(owned)
+    bounds.record_not_applied(owned)
     assert bounds.until_s("a", 150, 150) >= late_s
 
 
@@ -233,16 +235,16 @@
 def not_taken(context):
     clock, bounds, owned = make_bounds()
     grant(clock, bounds, owned)
-    bounds.close_not_taken(owned)
+    bounds.record_not_applied(owned)
     assert bounds.until_s("a", 150, 150) == float("-inf")
     grant(clock, bounds, owned)
-    bounds.close_answered(owned, HOLD_S)
+    bounds.record_answered(owned, HOLD_S)
     until_s = bounds.until_s("a", 150, 150)
     clock._now_s = until_s - 0.01
-    bounds.drop_past()
+    bounds.drop_expired()
     assert bounds.until_s("a", 150, 150) == until_s
     clock._now_s = until_s + 0.01
-    bounds.drop_past()
+    bounds.drop_expired()
     assert bounds.until_s("a", 150, 150) == float("-inf")
 
 
@@ -252,10 +254,10 @@
     assert HoldBounds(clock).until_s("x", 0, 0) == float("inf")
     bounds.start_epoch(clock.now() + 9.0)
     assert bounds.until_s("x", 0, 0) == clock.now() + 9.0
-    bounds.tighten_predecessor(clock.now() + 12.0)
+    bounds.lower_predecessor_bound(clock.now() + 12.0)
     assert bounds.until_s("x", 0, 0) == clock.now() + 9.0
-    bounds.tighten_predecessor(clock.now() + 1.0)
+    bounds.lower_predecessor_bound(clock.now() + 1.0)
     assert bounds.until_s("x", 0, 0) == clock.now() + 1.0
     grant(clock, bounds, owned)
-    bounds.close_answered(owned, HOLD_S)
+    bounds.record_answered(owned, HOLD_S)
     assert bounds.until_s("a", 150, 150) == bounds.own_until_s("a", 150, 150) > clock.now() + 1.0
--- a/features/steps/gateway_ownership_world.py
+++ b/features/steps/gateway_ownership_world.py
@@ -12,8 +12,8 @@
     """Stands for the task that keeps a range."""
 
     failures = 0
-    wants_token = wants_fence = False
-    wants_return = None
+    needs_token = needs_fence = False
+    return_move = None
 
     def __init__(self, service, owned) -> None:
         self.service, self.owned = service, owned
@@ -27,7 +27,7 @@
 
 
 def grant(clock, bounds, owned, waited_s=0.2):
-    bounds.open(owned, HOLD_S, TIMEOUT_S)
+    bounds.record_sent(owned, HOLD_S, TIMEOUT_S)
     clock._now_s += waited_s
 
 
--- a/features/steps/gateway_range_count_steps.py
+++ b/features/steps/gateway_range_count_steps.py
@@ -33,7 +33,7 @@
         names.append(f"s{count + number}")
         stayers = [ServerCapacity(each, 2, 20.0) for each in names]
         balancer = LoadBalancer(table, context.range_window)
-        moved = with_moves(table, balancer.moves_of_leavers({leaver: "leaving"}, stayers))
+        moved = with_moves(table, balancer.drain_moves({leaver: "leaving"}, stayers))
         table = without_former(moved, moved.ranges)
     context.range_names, context.range_table = names, table
 
--- a/features/steps/gateway_sick_leader_steps.py
+++ b/features/steps/gateway_sick_leader_steps.py
@@ -20,7 +20,7 @@
     beat = LeaderBeat(EPOCH, proof_age_s, HOLD_MAX_S, ())
     report = PeerReport("n2", "boot-9", sequence, EPOCH, 0.0, beat, (), (), 0)
     assert world.peers.note(report)
-    world.leadership.signs.note(report)
+    world.leadership.liveness.record_report(report)
 
 
 @given("a gateway leader that is heard, whose last proof of leadership is {age_s:g} s old")
@@ -30,7 +30,7 @@
         world.store.put(LEADER_KEY, LeaderRow(EPOCH, "n2", "boot-9", NO_VERSION).encode())
         answer = (await world.store.read("", "")).unwrap()
         world.take_rows(answer.rows)
-        world.leadership.note_proof(answer.true_at_s)
+        world.leadership.record_proof(answer.true_at_s)
         hear(world, 1, age_s)
         return world
 
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -13,7 +13,7 @@
 from indigoworks.gateway.platform_ports import PlatformPorts
 from indigoworks.gateway.platform_subsystem import FEED_WAIT_S, PlatformSubsystem
 from indigoworks.gateway.server_stats import ServerStats
-from indigoworks.ownership.challenge_order import ChallengeOrder
+from indigoworks.ownership.challenge_delay import ChallengeDelay
 from indigoworks.ownership.control_group import CONTROL_TABLE, ControlGroup
 from indigoworks.ownership.group_leader import GroupLeader
 from indigoworks.ownership.group_member import GroupMember
@@ -70,7 +70,7 @@
             peers,
             directory,
             clock,
-            ChallengeOrder(
+            ChallengeDelay(
                 settings.node,
                 relay_capacity(settings.capacity_cores, settings.link_mbit),
                 peers,
@@ -78,7 +78,7 @@
                 random,
             ),
         )
-        ports.orders.hear(platform.servers.take_notice)
+        ports.orders.add_notice_listener(platform.servers.take_notice)
         self._bounds = HoldBounds(clock)
         self._policy = HoldPolicy(ports.health, settings.hold_max_s)
         self._reach = ServerReach(clock)
@@ -96,7 +96,7 @@
             clock,
             self._take_rows,
             self._take_rows,
-            self.leadership.note_proof,
+            self.leadership.record_proof,
         )
         platform.on_path_failed(self.follower.ask_anew)
         ports.health.eras.on_new(self.follower.ask_anew)
@@ -141,7 +141,7 @@
         """Return how long grants of earlier leaders may hold, also before this one acts."""
         if self.leadership.is_acting():
             return self._bounds.earlier_left_s()
-        before = PredecessorBound(self.leadership.acted_before(), self.leadership.signs)
+        before = PredecessorBound(self.leadership.previous_leader_row(), self.leadership.liveness)
         now_s = self._clock.now()
         return max(0.0, before.until_s(now_s, self._policy.longest_max_s) - now_s)
 
@@ -149,13 +149,13 @@
         """Take a report of a peer."""
         era = max(report.operator_row_version.era, report.group_version.era)
         self._ports.health.eras.note(era, report.node)
-        self.leadership.signs.note(report)
+        self.leadership.liveness.record_report(report)
         self._lags[0].note(report.node, report.operator_row_version)
         configurations = self._platform.configurations
         configurations.record_newer_version(report.configuration_version, self._clock.now())
         self._lags[1].note(report.node, report.group_version)
         if report.leader is not None and report.leader.epoch >= self.leadership.row.epoch:
-            self.tables.note_beat(report.leader)
+            self.tables.apply_beat(report.leader)
         self.owners_changed()
 
     def _feed_wait_s(self) -> float:
@@ -193,7 +193,7 @@
         """Tell everyone at once which ranges are pending: requests wait for it."""
         beat = self.beat()
         if beat is not None:
-            self.tables.note_beat(beat)
+            self.tables.apply_beat(beat)
         self.send_report_now()
         self.owners_changed()
 
--- a/indigoworks/gateway/gateway_reports.py
+++ b/indigoworks/gateway/gateway_reports.py
@@ -55,7 +55,7 @@
             boot=self._boot,
             sequence=self._sequence,
             epoch=row.epoch,
-            beat_age_s=self._control.leadership.signs.beat_age_s(row.epoch),
+            beat_age_s=self._control.leadership.liveness.beat_age_s(row.epoch),
             leader=self._control.beat(),
             loads=loads,
             samples=samples,
--- a/indigoworks/gateway/instrumented_orders.py
+++ b/indigoworks/gateway/instrumented_orders.py
@@ -6,7 +6,7 @@
 from indigoworks.ownership.key_grant import KeyGrant
 from indigoworks.ownership.key_release import KeyRelease
 from indigoworks.ownership.order_outcome import OrderOutcome
-from indigoworks.ownership.server_orders import MaySend, ServerOrders, TakeNotice
+from indigoworks.ownership.server_orders import MaySend, NoticeListener, ServerOrders
 from indigoworks.servers.server_record import ServerRecord
 
 
@@ -20,9 +20,9 @@
         self._orders = orders
         self._calls = CallMetrics(metrics, clock, "gateway_order", "Orders to servers", "order")
 
-    def hear(self, listener: TakeNotice) -> None:
+    def add_notice_listener(self, listener: NoticeListener) -> None:
         """Tell `listener` what servers ask for in their answers to orders."""
-        self._orders.hear(listener)
+        self._orders.add_notice_listener(listener)
 
     async def grant(
         self, server: ServerRecord, grant: KeyGrant, timeout_s: float, may_send: MaySend
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -201,7 +201,7 @@
         leadership = self._control.leadership
         if leadership.is_named():
             return _age(leadership.proof_age_s())
-        return _age(leadership.signs.proof_age_s(leadership.row.epoch))
+        return _age(leadership.liveness.proof_age_s(leadership.row.epoch))
 
     # ---- what others say ----
 
--- a/indigoworks/ownership/challenge_order.py
+++ b/indigoworks/ownership/challenge_delay.py
@@ -25,7 +25,7 @@
 MAX_BACK_OFF_S = 2.0
 
 
-class ChallengeOrder:
+class ChallengeDelay:
     """The fittest that is heard goes first, so that seldom two write at once.
 
     Nobody appoints a successor: each process ranks itself among the peers it hears, by the capacity
@@ -46,7 +46,7 @@
         self._random = random
         self._failures = 0
 
-    def note(self, is_failed: bool) -> None:
+    def record_outcome(self, is_failed: bool) -> None:
         """Take the outcome of a challenge; `is_failed`: the store did not decide it."""
         self._failures = self._failures + 1 if is_failed else 0
 
@@ -60,7 +60,7 @@
         jitter_s = self._random.uniform(0.0, JITTER_S)
         return rank * RANK_S + weak_s + jitter_s + self._back_off_s()
 
-    def is_first(self) -> bool:
+    def may_skip_delay(self) -> bool:
         """Tell whether this machine may lead again at once after a restart."""
         return not self._is_weak()
 
--- a/indigoworks/ownership/challenge_reasons.py
+++ b/indigoworks/ownership/challenge_reasons.py
@@ -3,8 +3,8 @@
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.ownership.leader_lease import LEADER_LEASE_S
+from indigoworks.ownership.leader_liveness import LeaderLiveness
 from indigoworks.ownership.leader_row import LeaderRow
-from indigoworks.ownership.leader_signs import LeaderSigns
 from indigoworks.rowstore.store_version import NO_VERSION
 
 SICK_LEADER_S = 1.8
@@ -24,14 +24,14 @@
     """Reasons by what the leader's row says and by signs of life; None: the leader is to stay."""
 
     def __init__(
-        self, node: str, signs: LeaderSigns, directory: PeerDirectory, clock: Clock
+        self, node: str, signs: LeaderLiveness, directory: PeerDirectory, clock: Clock
     ) -> None:
         self._node = node
         self._signs = signs
         self._directory = directory
         self._clock = clock
 
-    def without_row(self, former: LeaderRow, era: int, era_seen_s: float) -> str | None:
+    def for_missing_row(self, former: LeaderRow, era: int, era_seen_s: float) -> str | None:
         """Return a reason to be the first leader of an era.
 
         :param former: the newest known row of an earlier era.
@@ -41,7 +41,7 @@
         is_awaited = is_early and era > 0 and self._may_hear_of(former, era_seen_s)
         return None if is_awaited else "no_row"
 
-    def with_row(self, row: LeaderRow, row_seen_s: float) -> str | None:
+    def for_row(self, row: LeaderRow, row_seen_s: float) -> str | None:
         """Return a reason to replace the leader of a row that was first seen at `row_seen_s`."""
         if row.node == "":
             return "given_up"
@@ -51,7 +51,7 @@
         if boot is not None and boot != row.boot:
             return "later_boot"
         silence_s = self._signs.silence_s(row.epoch, row_seen_s)
-        if self._signs.is_sick(row.epoch, SICK_LEADER_S):
+        if self._signs.reports_old_proof(row.epoch, SICK_LEADER_S):
             return "leader_without_store"
         if self._signs.hears_peers():
             return "silent" if silence_s > SILENCE_S else None
--- a/indigoworks/ownership/former_era.py
+++ b/indigoworks/ownership/former_era.py
@@ -19,7 +19,7 @@
     is_led: bool
     is_fresh: bool
 
-    def is_before(self, era: int) -> bool:
+    def precedes(self, era: int) -> bool:
         """Tell whether nothing lies between this era and `era`."""
         return self.row.version != NO_VERSION and self.row.version.era == era - 1
 
--- a/indigoworks/ownership/group_leader.py
+++ b/indigoworks/ownership/group_leader.py
@@ -12,7 +12,7 @@
 from indigoworks.ownership.leader_row import LeaderRow
 from indigoworks.ownership.leadership import Leadership
 from indigoworks.ownership.load_balancer import LoadBalancer
-from indigoworks.ownership.moves_by_load import even_moves, moves_beside, urgent_moves
+from indigoworks.ownership.moves_by_load import moves_outside, overload_moves, rebalance_moves
 from indigoworks.ownership.owned_range import OwnedRange
 from indigoworks.ownership.owner_candidates import OwnerCandidates, SpeedOf
 from indigoworks.ownership.ownership_table import OwnershipTable
@@ -105,21 +105,21 @@
 
     async def run(self, predecessor: LeaderRow) -> None:
         """Lead until another leader is named, or none."""
-        before = self._before = PredecessorBound(predecessor, self._leadership.signs)
+        before = self._before = PredecessorBound(predecessor, self._leadership.liveness)
         epoch = self._leadership.row.epoch
-        await self._writer.read_again()
+        await self._writer.reread()
         if not self._leadership.led_former_era(self._leadership.era - 1):
             self._bounds.start_epoch(self._predecessor_until_s(before))
             for server_id in before.silent_servers():
-                self._reach.note_silent(server_id)
+                self._reach.mark_silent(server_id)
         self._leadership.start_acting(epoch, before, self._bounds, self._reach.orders)
         try:
             while self._leads(epoch) and not await self._take_tables():
                 await self._clock.sleep(TICK_S)
             while self._leads(epoch):
                 self._watch_predecessor(before)
-                self._bounds.drop_past()
-                self._load.take_samples(self._keyed_services())
+                self._bounds.drop_expired()
+                self._load.collect_samples(self._keyed_services())
                 for service in self._keyed_services():
                     await self._look_after(service)
                 await self._clock.sleep(TICK_S)
@@ -134,7 +134,7 @@
         brought into the new era.
         """
         era = self._leadership.era
-        if self._tables.has_any_of(era) or self._leadership.knows_former_era(era - 1):
+        if self._tables.has_tables_of(era) or self._leadership.knows_former_era(era - 1):
             return before.until_s(self._clock.now(), self._policy.longest_max_s)
         return float("-inf")
 
@@ -146,9 +146,9 @@
 
     def _watch_predecessor(self, before: PredecessorBound) -> None:
         """Lower the bound once the predecessor is known to act no longer."""
-        if before.acts_no_more():
+        if before.has_stopped_acting():
             until_s = before.until_s(self._clock.now(), self._policy.longest_max_s)
-            self._bounds.tighten_predecessor(until_s)
+            self._bounds.lower_predecessor_bound(until_s)
 
     async def _take_tables(self) -> bool:
         """Read the tables as the last leader left them and put new tokens on all ranges.
@@ -156,7 +156,7 @@
         False where that did not come about, such as by a write whose answer was lost: it is then to
         be done again from the rows as they are.
         """
-        if not await self._writer.read_again():
+        if not await self._writer.reread():
             return False
         for service in self._keyed_services():
             if not await self._take_table(service):
@@ -178,12 +178,12 @@
     def _note_inherited(self, service: str, table: OwnershipTable) -> None:
         for owned in table.ranges:
             keys = (owned.first, owned.last)
-            self._bounds.note_inherited(owned.server_id, *keys)
-            self._bounds.note_unfenced(owned.server_id, *keys)
+            self._bounds.mark_inherited(owned.server_id, *keys)
+            self._bounds.mark_unfenced(owned.server_id, *keys)
             for former in owned.former:
-                self._bounds.note_inherited(former.server_id, *keys)
+                self._bounds.mark_inherited(former.server_id, *keys)
                 if self._before is None or self._before.may_be_pending(service, *keys):
-                    self._bounds.note_unfenced(former.server_id, *keys)
+                    self._bounds.mark_unfenced(former.server_id, *keys)
 
     # ---- one service ----
 
@@ -197,7 +197,7 @@
         if not table.ranges:
             await self._first_table(service)
             return
-        self._keepers.keep(service, table)
+        self._keepers.update(service, table)
         changed = self._changed_table(service, table)
         if changed is not None and not await self._writer.write(*changed):
             self._failed_s = self._clock.now()
@@ -208,16 +208,16 @@
         """Return the next change of a table, with its reason; None: it is to stay."""
         if self._writer.is_unsettled(service):
             return table, "settle"
-        fenced = self._keepers.wanting_token(service)
+        fenced = self._keepers.needing_token(service)
         if fenced:
             return with_new_token_of(table, fenced), "fenced"
-        returns = self._keepers.wanting_return(service)
+        returns = self._keepers.return_moves(service)
         if returns:
             return with_moves(table, returns), returns[0].reason
         # Former owners that are ruled out leave the row with whatever else is written.
         granted = [each for each in self._keepers.granted(service) if each.former]
         cleaned = without_former(table, granted) if granted else table
-        late = self._keepers.wanting_fence(service)
+        late = self._keepers.needing_fence(service)
         if late and self._clock.now() - self._fenced_s >= FENCE_PERIOD_S:
             self._fenced_s = self._clock.now()
             fenced_table = with_new_token_of(table, late)
@@ -232,13 +232,13 @@
 
         Their owners answer and may take an earlier grant late, which a release does not rule out.
         """
-        leavers = self._candidates.leavers(table)
+        leavers = self._candidates.servers_to_drain(table)
         stayers = self._candidates.capacities(service, leavers)
         window = self._load.slow(service)
         resting = self._resting.to_relieve(table, window, stayers)
         leavers.update({each: "resting" for each in resting if each not in leavers})
         balancer = LoadBalancer(table, window)
-        moves = moves_beside(balancer.moves_of_leavers(leavers, stayers), late)
+        moves = moves_outside(balancer.drain_moves(leavers, stayers), late)
         if moves:
             return with_moves(table, moves), moves[0].reason
         return self._balanced_table(service, table, stayers, late)
@@ -254,10 +254,10 @@
         if now_s - self._balanced_s < BALANCE_PERIOD_S or now_s - self._failed_s < LOAD_REST_S:
             return None
         self._balanced_s = now_s
-        moves = moves_beside(urgent_moves(table, self._load, servers), late)
+        moves = moves_outside(overload_moves(table, self._load, servers), late)
         if not moves and now_s - self._evened_s > EVEN_PERIOD_S:
             self._evened_s = now_s
-            moves = moves_beside(even_moves(table, self._load, servers), late)
+            moves = moves_outside(rebalance_moves(table, self._load, servers), late)
         return (with_moves(table, moves), moves[0].reason) if moves else None
 
     def _cleaned_table(
--- a/indigoworks/ownership/group_load.py
+++ b/indigoworks/ownership/group_load.py
@@ -35,7 +35,7 @@
         """Return the window that shows lasting differences."""
         return self._window(self._slow, service, SLOW_WINDOW_S)
 
-    def take_samples(self, services: Iterable[str]) -> None:
+    def collect_samples(self, services: Iterable[str]) -> None:
         """Add what the exchange has brought since the last call, for `services`."""
         for service in services:
             self.burst(service)
--- a/indigoworks/ownership/group_member.py
+++ b/indigoworks/ownership/group_member.py
@@ -28,4 +28,4 @@
             # The row decides, not the answer to the challenge: that may be lost, or the store may
             # make the write seconds later.
             if self._leadership.is_named():
-                await self._make_leader().run(self._leadership.acted_before())
+                await self._make_leader().run(self._leadership.previous_leader_row())
--- a/indigoworks/ownership/hold_bounds.py
+++ b/indigoworks/ownership/hold_bounds.py
@@ -9,20 +9,20 @@
 from indigoworks.ownership.key_spans import KeySpans
 from indigoworks.ownership.owned_range import OwnedRange
 
-CLOCK_FACTOR = 1.02
+CLOCK_DRIFT_FACTOR = 1.02
 """A server's clock may run so much slow."""
 
-MARGIN_S = 0.1
+SEND_MARGIN_S = 0.1
 """For the time between the reading of our clock and the sending."""
 
-LATE_ORDER_S = 13.0
+MAX_ORDER_DELAY_S = 13.0
 """A server may carry out an order that it did not answer up to so long after it was sent."""
 
 
 SLOW_ORDER_S = 0.1
 """An order that is under way for longer may well be one that is carried out late."""
 
-PAST_HOLDS_S = 60.0
+EXPIRED_HOLD_RETENTION_S = 60.0
 """Holds that have ended are remembered for so long, for the log only."""
 
 
@@ -58,10 +58,10 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._settled_s: dict[_Hold, float] = {}
-        self._open_s: dict[_Hold, float] = {}
+        self._in_flight_s: dict[_Hold, float] = {}
         self._sent_s: dict[_Hold, float] = {}
-        self._late_s: dict[_Hold, float] = {}
-        self._past_s: dict[_Hold, float] = {}
+        self._unanswered_s: dict[_Hold, float] = {}
+        self._expired_s: dict[_Hold, float] = {}
         self._predecessor_s = float("inf")
         self._inherited = KeySpans()
         self._unfenced = KeySpans()
@@ -75,12 +75,12 @@
         self._unfenced = KeySpans()
         self._predecessor_s = predecessor_until_s
 
-    def note_possible(self, server_id: str, owned: OwnedRange, until_s: float) -> None:
+    def add_possible_hold(self, server_id: str, owned: OwnedRange, until_s: float) -> None:
         """Take note that a server may hold a range by the grant of a leader that is not known."""
         hold = _Hold(server_id, owned.first, owned.last, owned.token)
         self._settled_s[hold] = max(until_s, self._settled_s.get(hold, until_s))
 
-    def tighten_predecessor(self, until_s: float) -> None:
+    def lower_predecessor_bound(self, until_s: float) -> None:
         """Lower the bound of earlier leaders' grants: the predecessor acts no longer."""
         if until_s < self._predecessor_s:
             self._predecessor_s = until_s
@@ -88,68 +88,68 @@
                 message_type="hold:predecessor_bound", left_s=round(until_s - self._clock.now(), 3)
             )
 
-    def open(self, owned: OwnedRange, hold_s: float, timeout_s: float) -> None:
+    def record_sent(self, owned: OwnedRange, hold_s: float, timeout_s: float) -> None:
         """Take note that a grant is about to be sent and answered within `timeout_s`, or not."""
-        late_s = timeout_s + LATE_ORDER_S + hold_s * CLOCK_FACTOR + MARGIN_S
-        self._open_s[_hold(owned)] = self._clock.now() + late_s
+        late_s = timeout_s + MAX_ORDER_DELAY_S + hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
+        self._in_flight_s[_hold(owned)] = self._clock.now() + late_s
         self._sent_s[_hold(owned)] = self._clock.now()
 
-    def close_answered(self, owned: OwnedRange, hold_s: float) -> None:
+    def record_answered(self, owned: OwnedRange, hold_s: float) -> None:
         """Take note that the grant was answered now: it was taken before this moment."""
         hold = _hold(owned)
-        self._open_s.pop(hold, None)
+        self._in_flight_s.pop(hold, None)
         for spans in (self._inherited, self._unfenced):
             spans.remove(owned.server_id, owned.first, owned.last)
-        for known in (self._settled_s, self._open_s, self._late_s, self._past_s):
-            _take_below(known, owned.server_id, owned.first, owned.last, owned.token)
-        until_s = self._clock.now() + hold_s * CLOCK_FACTOR + MARGIN_S
+        for known in (self._settled_s, self._in_flight_s, self._unanswered_s, self._expired_s):
+            _remove_keys_below(known, owned.server_id, owned.first, owned.last, owned.token)
+        until_s = self._clock.now() + hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
         self._settled_s[hold] = max(until_s, self._settled_s.get(hold, until_s))
 
-    def close_not_taken(self, owned: OwnedRange) -> None:
+    def record_not_applied(self, owned: OwnedRange) -> None:
         """Take note that the grant certainly was not and will not be taken."""
-        self._open_s.pop(_hold(owned), None)
+        self._in_flight_s.pop(_hold(owned), None)
 
-    def close_unanswered(self, owned: OwnedRange) -> None:
+    def record_unanswered(self, owned: OwnedRange) -> None:
         """Take note that the grant may still be taken."""
         hold = _hold(owned)
-        until_s = self._open_s.pop(hold, float("-inf"))
-        self._late_s[hold] = max(until_s, self._late_s.get(hold, float("-inf")))
+        until_s = self._in_flight_s.pop(hold, float("-inf"))
+        self._unanswered_s[hold] = max(until_s, self._unanswered_s.get(hold, float("-inf")))
 
-    def close_released(self, server_id: str, first: int, last: int, token: int) -> None:
+    def record_released(self, server_id: str, first: int, last: int, token: int) -> None:
         """Take note that the server has given up what it held under tokens below `token`.
 
         A grant that it may still take late stays possible: no page says that a server remembers the
         token of a release, as it does that of a grant.
         """
-        for known in (self._settled_s, self._past_s):
-            _take_below(known, server_id, first, last, token)
+        for known in (self._settled_s, self._expired_s):
+            _remove_keys_below(known, server_id, first, last, token)
 
-    def note_inherited(self, server_id: str, first: int, last: int) -> None:
+    def mark_inherited(self, server_id: str, first: int, last: int) -> None:
         """Take note that earlier leaders may have sent the server grants of keys."""
         self._inherited.add(server_id, first, last)
 
-    def note_unfenced(self, server_id: str, first: int, last: int) -> None:
+    def mark_unfenced(self, server_id: str, first: int, last: int) -> None:
         """Take note that a release of keys says less of a server than a grant under a new token."""
         self._unfenced.add(server_id, first, last)
 
-    def drop_unfenced(self, server_id: str, first: int, last: int) -> None:
+    def clear_unfenced(self, server_id: str, first: int, last: int) -> None:
         """Take note that a release of keys is enough from now on."""
         self._unfenced.remove(server_id, first, last)
 
     def is_unfenced(self, server_id: str, first: int, last: int) -> bool:
         """Tell whether a server is to answer a grant of any of the keys before it is released."""
-        return self._unfenced.touches(server_id, first, last)
+        return self._unfenced.overlaps(server_id, first, last)
 
     def is_inherited(self, server_id: str, first: int, last: int) -> bool:
         """Tell whether grants of any of the keys by earlier leaders may be on their way.
 
         The server refuses them once it has answered a grant of this leader.
         """
-        return self._inherited.touches(server_id, first, last)
+        return self._inherited.overlaps(server_id, first, last)
 
-    def may_be_late(self, server_id: str, first: int, last: int) -> bool:
+    def may_apply_late(self, server_id: str, first: int, last: int) -> bool:
         """Tell whether a grant of any of the keys that the server left unanswered may be taken."""
-        return any(each.overlaps(server_id, first, last) for each in self._late_s)
+        return any(each.overlaps(server_id, first, last) for each in self._unanswered_s)
 
     def until_s(self, server_id: str, first: int, last: int) -> float:
         """Return until when the server may hold any of the keys."""
@@ -159,7 +159,7 @@
         """Return the bound of this leader's own grants; minus infinity: there were none."""
         bounds_s = [
             until_s
-            for known in (self._settled_s, self._open_s, self._late_s)
+            for known in (self._settled_s, self._in_flight_s, self._unanswered_s)
             for hold, until_s in known.items()
             if hold.overlaps(server_id, first, last)
         ]
@@ -177,7 +177,7 @@
         """
         holds = [
             (until_s, hold.token)
-            for known in (self._settled_s, self._open_s, self._late_s, self._past_s)
+            for known in (self._settled_s, self._in_flight_s, self._unanswered_s, self._expired_s)
             for hold, until_s in known.items()
             if hold.overlaps(server_id, first, last)
         ]
@@ -192,33 +192,35 @@
         now_s = self._clock.now()
         slow_s = [
             until_s
-            for hold, until_s in self._open_s.items()
+            for hold, until_s in self._in_flight_s.items()
             if now_s - self._sent_s.get(hold, now_s) > SLOW_ORDER_S
         ]
-        bounds_s = (*self._settled_s.values(), *self._late_s.values(), *slow_s)
+        bounds_s = (*self._settled_s.values(), *self._unanswered_s.values(), *slow_s)
         return max((0.0, *(until_s - now_s for until_s in bounds_s)))
 
     def earlier_left_s(self) -> float:
         """Return how long holds may last that earlier leaders granted; infinity: not known yet."""
         return max(0.0, self._predecessor_s - self._clock.now())
 
-    def drop_past(self) -> None:
+    def drop_expired(self) -> None:
         """Forget holds that have ended, but for those by grants that may still be taken."""
         now_s = self._clock.now()
-        for known in (self._settled_s, self._open_s):
+        for known in (self._settled_s, self._in_flight_s):
             self._remember({hold: at_s for hold, at_s in known.items() if at_s <= now_s})
-        oldest_s = now_s - PAST_HOLDS_S
-        self._past_s = {hold: at_s for hold, at_s in self._past_s.items() if at_s > oldest_s}
+        oldest_s = now_s - EXPIRED_HOLD_RETENTION_S
+        self._expired_s = {hold: at_s for hold, at_s in self._expired_s.items() if at_s > oldest_s}
         self._settled_s = {hold: at_s for hold, at_s in self._settled_s.items() if at_s > now_s}
-        self._open_s = {hold: at_s for hold, at_s in self._open_s.items() if at_s > now_s}
-        self._sent_s = {hold: at_s for hold, at_s in self._sent_s.items() if hold in self._open_s}
+        self._in_flight_s = {hold: at_s for hold, at_s in self._in_flight_s.items() if at_s > now_s}
+        self._sent_s = {
+            hold: at_s for hold, at_s in self._sent_s.items() if hold in self._in_flight_s
+        }
 
     def _remember(self, holds: Mapping[_Hold, float]) -> None:
         for hold, until_s in holds.items():
-            self._past_s[hold] = max(until_s, self._past_s.get(hold, until_s))
+            self._expired_s[hold] = max(until_s, self._expired_s.get(hold, until_s))
 
 
-def _take_below(
+def _remove_keys_below(
     known: dict[_Hold, float], server_id: str, first: int, last: int, token: int
 ) -> None:
     """Take keys out of the holds of a server under tokens below `token`."""
--- a/indigoworks/ownership/hold_policy.py
+++ b/indigoworks/ownership/hold_policy.py
@@ -8,7 +8,7 @@
 RENEWAL_S = 0.5
 """Time between two renewals."""
 
-TROUBLE_S = 1.3
+STORE_TROUBLE_S = 1.3
 """Age of the store's last word to the leader from which holds are made as long as servers accept:
 without the store no other leader can be found and nothing can move, and keys are to outlast this
 leader. A leader hears from a sound store more often (see LEADER_WAIT_S)."""
@@ -41,6 +41,6 @@
         :param is_doubtful: the server may leave the grant unanswered and take it late: its keys
             would be bound for the time until then and for the hold.
         """
-        if not is_doubtful and self._health.proof_age_s() > TROUBLE_S:
+        if not is_doubtful and self._health.proof_age_s() > STORE_TROUBLE_S:
             return self._hold_max_s
         return min(HOLD_S, self._hold_max_s)
--- a/indigoworks/ownership/keeper_set.py
+++ b/indigoworks/ownership/keeper_set.py
@@ -24,7 +24,7 @@
         self._keepers: dict[str, dict[OwnedRange, RangeKeeper]] = {}
         self._granted_at_stop: dict[str, frozenset[OwnedRange]] = {}
 
-    def keep(self, service: str, table: OwnershipTable) -> None:
+    def update(self, service: str, table: OwnershipTable) -> None:
         """Start keepers of new ranges and stop those of ranges that are gone."""
         keepers = self._keepers.setdefault(service, {})
         wanted = set(table.ranges)
@@ -77,17 +77,17 @@
         """Return how many ranges of all services their owners hold."""
         return sum(len(self.granted(service)) for service in self._keepers)
 
-    def wanting_token(self, service: str) -> list[OwnedRange]:
+    def needing_token(self, service: str) -> list[OwnedRange]:
         """Return the ranges whose owners have seen a higher token."""
-        return [each.owned for each in self._of(service) if each.wants_token]
+        return [each.owned for each in self._of(service) if each.needs_token]
 
-    def wanting_fence(self, service: str) -> list[OwnedRange]:
+    def needing_fence(self, service: str) -> list[OwnedRange]:
         """Return the ranges whose owners may still take a grant that they left unanswered."""
-        return [each.owned for each in self._of(service) if each.wants_fence]
+        return [each.owned for each in self._of(service) if each.needs_fence]
 
-    def wanting_return(self, service: str) -> list[RangeMove]:
+    def return_moves(self, service: str) -> list[RangeMove]:
         """Return the moves of ranges back to former owners that answer again."""
-        moves = (each.wants_return for each in self._of(service))
+        moves = (each.return_move for each in self._of(service))
         return [each for each in moves if each is not None]
 
     def pending(self) -> tuple[PendingRange, ...]:
@@ -112,7 +112,7 @@
             for each in keepers
             if each.is_granted
             and each.owned.server_id == owned.server_id
-            and (each.owned.token == owned.token or each.wants_fence)
+            and (each.owned.token == owned.token or each.needs_fence)
             and each.owned.first <= owned.last
             and owned.first <= each.owned.last
         )
--- a/indigoworks/ownership/key_spans.py
+++ b/indigoworks/ownership/key_spans.py
@@ -28,6 +28,6 @@
             left += [each for each in (before, after) if each[0] <= each[1]]
         self._spans[server_id] = left
 
-    def touches(self, server_id: str, first: int, last: int) -> bool:
+    def overlaps(self, server_id: str, first: int, last: int) -> bool:
         """Tell whether one of keys `first` to `last` is in the set of a server."""
         return any(span[0] <= last and first <= span[1] for span in self._spans.get(server_id, []))
--- a/indigoworks/ownership/leader_signs.py
+++ b/indigoworks/ownership/leader_liveness.py
@@ -13,7 +13,7 @@
 """Node and boot of a process."""
 
 
-class LeaderSigns:
+class LeaderLiveness:
     """Newest beat heard, and what peers say that they heard."""
 
     def __init__(self, peers: PeerView, directory: PeerDirectory, clock: Clock) -> None:
@@ -25,7 +25,7 @@
         self._epochs: dict[_Life, int] = {}
         self._heard_s: dict[_Life, float] = {}
 
-    def note(self, report: PeerReport) -> None:
+    def record_report(self, report: PeerReport) -> None:
         """Take a report of a peer."""
         life = (report.node, report.boot)
         self._epochs[life] = max(self._epochs.get(life, 0), report.epoch)
@@ -35,7 +35,7 @@
             self._beat = beat
             self._beat_s = self._clock.now()
 
-    def heard_after(self, epoch: int) -> bool:
+    def heard_later_epoch(self, epoch: int) -> bool:
         """Tell whether a beat of a later epoch was heard."""
         return self._beat is not None and self._beat.epoch > epoch
 
@@ -64,7 +64,7 @@
                 ages_s.append(report.beat_age_s + (0.0 if at_s is None else now_s - at_s))
         return min(ages_s)
 
-    def is_sick(self, epoch: int, limit_s: float) -> bool:
+    def reports_old_proof(self, epoch: int, limit_s: float) -> bool:
         """Tell whether the leader itself says that its proof is older than `limit_s`."""
         if self._beat is None or self._beat.epoch != epoch:
             return False
@@ -100,13 +100,13 @@
             return None
         return self._beat.pending
 
-    def announced_silent(self, epoch: int) -> tuple[str, ...]:
+    def announced_silent_servers(self, epoch: int) -> tuple[str, ...]:
         """Return the servers that left orders of the leader of `epoch` unanswered, as it told."""
         if self._beat is None or self._beat.epoch != epoch:
             return ()
         return self._beat.silent_servers
 
-    def proved_s(self, epoch: int) -> float:
+    def announced_proof_time_s(self, epoch: int) -> float:
         """Return the time of the newest proof of which the leader of `epoch` told.
 
         Minus infinity: it was not heard.
@@ -115,7 +115,7 @@
             return float("-inf")
         return self._beat_s - self._beat.proof_age_s
 
-    def acts_no_more(self, node: str, boot: str, epoch: int) -> bool:
+    def has_stopped_acting(self, node: str, boot: str, epoch: int) -> bool:
         """Tell whether the leader of `epoch` is known to act no longer as such.
 
         It says itself that it follows a later epoch, or its node runs under another boot.
--- a/indigoworks/ownership/leader_log.py
+++ b/indigoworks/ownership/leader_log.py
@@ -5,7 +5,7 @@
 from eliot import log_message
 
 from indigoworks.ownership.hold_bounds import HoldBounds
-from indigoworks.ownership.order_watch import OrderWatch
+from indigoworks.ownership.order_tracker import OrderTracker
 from indigoworks.ownership.predecessor_bound import PredecessorBound
 
 LONGEST_S = 1e6
@@ -27,19 +27,19 @@
     elif until_s == float("-inf"):
         reason = "nothing_granted"
     else:
-        reason = "acts_no_more" if before.acts_no_more() else "may_act"
+        reason = "acts_no_more" if before.has_stopped_acting() else "may_act"
     log_message(
         message_type="leader:acts",
         epoch=epoch,
         predecessor=before.row.node,
         predecessor_epoch=before.row.epoch,
-        is_known_to_act_no_more=before.acts_no_more(),
+        is_known_to_act_no_more=before.has_stopped_acting(),
         bound_left_s=left_s(until_s, now_s),
         reason=reason,
     )
 
 
-def log_lost(epoch: int, to_node: str, orders: OrderWatch | None) -> None:
+def log_lost(epoch: int, to_node: str, orders: OrderTracker | None) -> None:
     """Tell that the row names this process no longer."""
     log_message(
         message_type="leader:lost",
@@ -58,7 +58,7 @@
     log_message(message_type="leader:resigned", epoch=epoch, is_written=is_written, **order_fields)
 
 
-def order_fields(orders: OrderWatch | None) -> dict[str, object]:
+def order_fields(orders: OrderTracker | None) -> dict[str, object]:
     """Return the fields on orders that are open when a process leads no longer."""
     return {
         "orders_under_way": 0 if orders is None else orders.under_way(),
--- a/indigoworks/ownership/leadership.py
+++ b/indigoworks/ownership/leadership.py
@@ -10,7 +10,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_view import PeerView
-from indigoworks.ownership.challenge_order import ChallengeOrder
+from indigoworks.ownership.challenge_delay import ChallengeDelay
 from indigoworks.ownership.challenge_reasons import ChallengeReasons
 from indigoworks.ownership.control_group import CONTROL_TABLE, ControlGroup
 from indigoworks.ownership.era_numbers import first_number
@@ -18,11 +18,11 @@
 from indigoworks.ownership.hold_bounds import HoldBounds
 from indigoworks.ownership.hold_policy import HOLD_S
 from indigoworks.ownership.leader_lease import LEADER_LEASE_S
+from indigoworks.ownership.leader_liveness import LeaderLiveness
 from indigoworks.ownership.leader_log import log_acting, log_lost, log_resigned, order_fields
 from indigoworks.ownership.leader_row import LEADER_KEY, NO_LEADER, LeaderRow
-from indigoworks.ownership.leader_signs import LeaderSigns
 from indigoworks.ownership.leader_state import LeaderState
-from indigoworks.ownership.order_watch import OrderWatch
+from indigoworks.ownership.order_tracker import OrderTracker
 from indigoworks.ownership.predecessor_bound import PredecessorBound
 from indigoworks.rowstore.errors import ConditionFailed
 from indigoworks.rowstore.row import Row
@@ -63,7 +63,7 @@
         peers: PeerView,
         directory: PeerDirectory,
         clock: Clock,
-        order: ChallengeOrder,
+        challenge_delay: ChallengeDelay,
     ) -> None:
         self._node = node
         self._boot = boot
@@ -71,7 +71,7 @@
         self._store = store
         self._health = health
         self._clock = clock
-        self._order = order
+        self._challenge_delay = challenge_delay
         self._row = NO_LEADER
         self.predecessor = NO_LEADER
         self.former = NO_FORMER_ERA
@@ -82,9 +82,9 @@
         self._acting_epoch: int | None = None
         self._changed = asyncio.Event()
         self._is_resigned = False
-        self._orders: OrderWatch | None = None
-        self.signs = LeaderSigns(peers, directory, clock)
-        self._reasons = ChallengeReasons(node, self.signs, directory, clock)
+        self._orders: OrderTracker | None = None
+        self.liveness = LeaderLiveness(peers, directory, clock)
+        self._reasons = ChallengeReasons(node, self.liveness, directory, clock)
         group.eras.on_new(self._begin_era)
 
     # ---- what the store says ----
@@ -96,7 +96,7 @@
             if row.key == LEADER_KEY and is_current and row.version > self._row.version:
                 self._take_row(LeaderRow.decode(row.value, row.version))
 
-    def note_proof(self, true_at_s: float) -> None:
+    def record_proof(self, true_at_s: float) -> None:
         """Take note that the rows applied so far were the newest at `true_at_s`."""
         if not self.has_read:
             self.era_seen_s = self.others_led_until_s = self._clock.now()
@@ -105,18 +105,18 @@
         if self._names_us() and (self._proof_s is None or true_at_s > self._proof_s):
             self._proof_s = true_at_s
 
-    def note_commit(self, sent_s: float) -> None:
+    def record_commit(self, sent_s: float) -> None:
         """Take note that a transaction under the condition of our row was made."""
         if self._names_us() and (self._proof_s is None or sent_s > self._proof_s):
             self._proof_s = sent_s
 
-    def note_former(self, row: LeaderRow) -> None:
+    def record_former_row(self, row: LeaderRow) -> None:
         """Take a row of an earlier era, as the store's copy holds it."""
         if row.version > self.former.row.version:
             self.former = replace(self.former, row=row)
 
     def start_acting(
-        self, epoch: int, before: PredecessorBound, bounds: HoldBounds, orders: OrderWatch
+        self, epoch: int, before: PredecessorBound, bounds: HoldBounds, orders: OrderTracker
     ) -> None:
         """Take note that the bounds of earlier leaders' grants stand: `epoch` may give orders."""
         self._acting_epoch = epoch
@@ -166,13 +166,13 @@
 
     def _is_first_after(self, era: int) -> bool:
         """Tell whether no leader of this era was before, and `era` is the one right before it."""
-        return era == self.era - 1 and self.former.is_before(self.era) and self.is_first_in_era()
+        return era == self.era - 1 and self.former.precedes(self.era) and self.is_first_in_era()
 
     def is_first_in_era(self) -> bool:
         """Tell whether nobody is known to have led in this era before this process."""
         return self.predecessor.version == NO_VERSION
 
-    def acted_before(self) -> LeaderRow:
+    def previous_leader_row(self) -> LeaderRow:
         """Return the row of the leader before this process."""
         return self.former.row if self.is_first_in_era() else self.predecessor
 
@@ -187,7 +187,7 @@
 
     def may_act(self) -> bool:
         """Tell whether this process may act as leader now; ask right before each order."""
-        is_over = self._is_resigned or self.signs.heard_after(self._row.epoch)
+        is_over = self._is_resigned or self.liveness.heard_later_epoch(self._row.epoch)
         return self._names_us() and not is_over and self.proof_age_s() < LEADER_LEASE_S
 
     def proof_age_s(self) -> float:
@@ -222,9 +222,9 @@
     async def challenge_if_lost(self) -> None:
         """Try to take the leadership over where the leader is lost; `is_named` tells the result."""
         reason = self._reason_to_challenge()
-        is_next = reason == "own_earlier_boot" and self._order.is_first()
+        is_next = reason == "own_earlier_boot" and self._challenge_delay.may_skip_delay()
         if reason is not None and reason != "led_before" and not is_next:
-            await self._clock.sleep(self._order.wait_s(self._row.node))
+            await self._clock.sleep(self._challenge_delay.wait_s(self._row.node))
             reason = self._reason_to_challenge()
         if reason is not None:
             await self._take_over(reason)
@@ -245,19 +245,19 @@
         if self._is_resigned or not is_sound or self._names_us():
             return None
         if self._row.version != NO_VERSION:
-            return self._reasons.with_row(self._row, self._row_seen_s)
+            return self._reasons.for_row(self._row, self._row_seen_s)
         if self.led_former_era(self.era - 1):
             return "led_before"
-        return self._reasons.without_row(self.former.row, self.era, self.era_seen_s)
+        return self._reasons.for_missing_row(self.former.row, self.era, self.era_seen_s)
 
     async def _take_over(self, reason: str) -> None:
-        silence_s = self.signs.silence_s(self._row.epoch, self._row_seen_s)
+        silence_s = self.liveness.silence_s(self._row.epoch, self._row_seen_s)
         known = max(self._row.epoch, self.former.row.epoch, first_number(self.era))
         row = LeaderRow(known + 1, self._node, self._boot, NO_VERSION)
         sent_s = self._clock.now()
         result = await self._store.commit(self._write_of(row))
         is_decided = result.is_ok() or isinstance(result.unwrap_err(), ConditionFailed)
-        self._order.note(is_failed=not is_decided)
+        self._challenge_delay.record_outcome(is_failed=not is_decided)
         if isinstance(result, Err):
             log_message(
                 message_type="leader:challenge_failed",
@@ -267,7 +267,7 @@
             )
             return
         self._take_row(LeaderRow(row.epoch, row.node, row.boot, result.unwrap()))
-        self.note_commit(sent_s)
+        self.record_commit(sent_s)
         log_message(
             message_type="leader:taken",
             epoch=row.epoch,
--- a/indigoworks/ownership/load_balancer.py
+++ b/indigoworks/ownership/load_balancer.py
@@ -6,10 +6,10 @@
 from indigoworks.ownership.load_window import LoadWindow
 from indigoworks.ownership.owned_range import OwnedRange
 from indigoworks.ownership.ownership_table import OwnershipTable
-from indigoworks.ownership.range_cutter import EXCESS, RangeCutter
 from indigoworks.ownership.range_move import RangeMove
+from indigoworks.ownership.range_splitter import MAX_EXCESS_RATIO, RangeSplitter
 from indigoworks.ownership.server_capacity import ServerCapacity
-from indigoworks.ownership.server_load_share import requests_of, utilisation
+from indigoworks.ownership.server_load_share import requests_by_server, utilisation
 
 OVERLOAD_RATIO = 1.3
 """A server is too busy when it has so many times the mean load."""
@@ -85,9 +85,9 @@
     def __init__(self, table: OwnershipTable, window: LoadWindow) -> None:
         self._table = table
         self._window = window
-        self._cutter = RangeCutter(window)
+        self._cutter = RangeSplitter(window)
 
-    def moves_of_leavers(
+    def drain_moves(
         self, leavers: Mapping[str, str], stayers: Sequence[ServerCapacity]
     ) -> list[RangeMove]:
         """Return the moves that empty `leavers` (server and reason), to the best stayers."""
@@ -107,7 +107,7 @@
                 moves.append(RangeMove(first, last, owned.server_id, target.server_id, reason))
         return moves
 
-    def moves_for_balance(
+    def overload_moves(
         self,
         servers: Sequence[ServerCapacity],
         limit: float,
@@ -148,7 +148,7 @@
             moves.append(move)
         return moves
 
-    def moves_for_evenness(self, servers: Sequence[ServerCapacity]) -> list[RangeMove]:
+    def rebalance_moves(self, servers: Sequence[ServerCapacity]) -> list[RangeMove]:
         """Return moves that even out the pressure on servers, as far as differences are clear.
 
         Pressure is the share of slots in use, and more on a server that is clearly slower than
@@ -218,7 +218,7 @@
         if not busiest.is_limited:
             return wanted_hits
         spare = (load[busiest.server_id] - KEPT_UTILISATION) / self._utilisation(1.0, busiest)
-        return min(wanted_hits, spare / EXCESS)
+        return min(wanted_hits, spare / MAX_EXCESS_RATIO)
 
     def _move_of(
         self,
@@ -235,7 +235,7 @@
         ranges = [each for each in left if each.server_id == busiest.server_id and not each.former]
         ranges.sort(key=lambda each: -self._window.count_between(each.first, each.last))
         for owned in ranges:
-            piece = self._cutter.piece(owned, wanted_hits)
+            piece = self._cutter.part_for_load(owned, wanted_hits)
             if piece is None:
                 continue
             left.remove(owned)
@@ -259,14 +259,14 @@
             is_doubtful = hits < significance**2
             if is_doubtful or self._utilisation(hits, server) < HOT_KEY_UTILISATION:
                 continue
-            fastest = max(servers, key=lambda each: each.taken_per_s)
+            fastest = max(servers, key=lambda each: each.usable_per_s)
             ratio = AGAIN_FASTER_RATIO if owned.width == 1 else FASTER_RATIO
-            if fastest.taken_per_s > ratio * server.taken_per_s:
+            if fastest.usable_per_s > ratio * server.usable_per_s:
                 return RangeMove(key, key, owned.server_id, fastest.server_id, "hot_key")
         return None
 
     def _loads(self, servers: Sequence[ServerCapacity]) -> dict[str, float]:
-        hits = requests_of(self._table, self._window, servers)
+        hits = requests_by_server(self._table, self._window, servers)
         return {each.server_id: self._utilisation(hits[each.server_id], each) for each in servers}
 
     def _utilisation(self, hits: float, server: ServerCapacity) -> float:
--- a/indigoworks/ownership/paced_line.py
+++ b/indigoworks/ownership/log_throttle.py
@@ -6,7 +6,7 @@
 """Time between two lines at least; what came meanwhile is counted."""
 
 
-class PacedLine:
+class LogThrottle:
     """Tells when a line is due: at once the first time, then at most once in a period."""
 
     def __init__(self, clock: Clock) -> None:
@@ -14,7 +14,7 @@
         self._told_s = float("-inf")
         self._count = 0
 
-    def take(self) -> int | None:
+    def count_event(self) -> int | None:
         """Count an event; returns how many the line stands for, or None: it is not due."""
         self._count += 1
         if self._clock.now() - self._told_s < LINE_PERIOD_S:
--- a/indigoworks/ownership/moves_by_load.py
+++ b/indigoworks/ownership/moves_by_load.py
@@ -16,7 +16,7 @@
 from indigoworks.ownership.server_capacity import ServerCapacity
 
 
-def urgent_moves(
+def overload_moves(
     table: OwnershipTable, load: GroupLoad, servers: Sequence[ServerCapacity]
 ) -> list[RangeMove]:
     """Return the moves that relieve servers which are too busy; empty: none is.
@@ -30,13 +30,13 @@
     )
     for window, significance in windows:
         balancer = LoadBalancer(table, window)
-        moves = balancer.moves_for_balance(servers, HIGH_UTILISATION, significance)
+        moves = balancer.overload_moves(servers, HIGH_UTILISATION, significance)
         if moves:
             return moves
     return []
 
 
-def even_moves(
+def rebalance_moves(
     table: OwnershipTable, load: GroupLoad, servers: Sequence[ServerCapacity]
 ) -> list[RangeMove]:
     """Return the moves that even servers out; empty: they are even, or too little was seen.
@@ -47,9 +47,9 @@
     window = load.slow(table.service)
     if window.traffic_s < MIN_COVERED_S:
         return []
-    return LoadBalancer(table, window).moves_for_evenness(servers)
+    return LoadBalancer(table, window).rebalance_moves(servers)
 
 
-def moves_beside(moves: Sequence[RangeMove], kept: Sequence[OwnedRange]) -> list[RangeMove]:
+def moves_outside(moves: Sequence[RangeMove], kept: Sequence[OwnedRange]) -> list[RangeMove]:
     """Return the moves that take no key out of the ranges that are to be kept."""
     return [each for each in moves if not any(each.takes_from(owned) for owned in kept)]
--- a/indigoworks/ownership/order_watch.py
+++ b/indigoworks/ownership/order_tracker.py
@@ -8,8 +8,8 @@
 from indigoworks.common.clock import Clock
 from indigoworks.ownership.leader_proof import LeaderProof, proof_fields
 from indigoworks.ownership.leader_state import LeaderState
+from indigoworks.ownership.log_throttle import LogThrottle
 from indigoworks.ownership.order_outcome import OrderResult
-from indigoworks.ownership.paced_line import PacedLine
 from indigoworks.ownership.sent_order import SentOrder
 from indigoworks.ownership.server_silence import ServerSilence
 from indigoworks.ownership.unanswered_orders import UnansweredOrders
@@ -18,7 +18,7 @@
 """An order that is sent or answered with an older proof of leadership is told of."""
 
 
-class OrderWatch:
+class OrderTracker:
     """Follows each order from its sending to its end; it decides nothing."""
 
     def __init__(self, clock: Clock) -> None:
@@ -26,10 +26,10 @@
         self._under_way: list[SentOrder] = []
         self._unanswered = UnansweredOrders()
         self._silences: dict[str, ServerSilence] = {}
-        self._old_proof = {each: PacedLine(clock) for each in ("sent", "ended")}
+        self._old_proof = {each: LogThrottle(clock) for each in ("sent", "ended")}
 
     @contextmanager
-    def follow(self, order: SentOrder, proof: LeaderProof) -> Iterator[SentOrder]:
+    def track(self, order: SentOrder, proof: LeaderProof) -> Iterator[SentOrder]:
         """Follow an order; its result is to be set before the block ends."""
         self._under_way.append(order)
         self._note_proof("sent", order, proof)
@@ -50,7 +50,9 @@
         self._unanswered.drop_old(self._clock.now())
         return self._unanswered.count()
 
-    def on_keys(self, kind: str, server_id: str, first: int, last: int) -> tuple[int, float | None]:
+    def open_on_keys(
+        self, kind: str, server_id: str, first: int, last: int
+    ) -> tuple[int, float | None]:
         """Return how many orders of a kind on keys a server has not answered, and the age of the
         oldest.
 
@@ -84,7 +86,7 @@
         self._unanswered.add(order)
         silence = self._silences.get(order.server_id)
         if silence is None:
-            silence = ServerSilence(order.sent_s, PacedLine(self._clock))
+            silence = ServerSilence(order.sent_s, LogThrottle(self._clock))
             self._silences[order.server_id] = silence
         count = silence.add(order.kind)
         if count is not None:
@@ -105,7 +107,7 @@
     def _note_proof(self, moment: str, order: SentOrder, proof: LeaderProof) -> None:
         if proof.proof_age_s() <= OLD_PROOF_S and proof.state() is LeaderState.LEADS:
             return
-        count = self._old_proof[moment].take()
+        count = self._old_proof[moment].count_event()
         if count is not None:
             result = None if order.result is None else order.result.value
             self._log("order:old_proof", order, proof, moment=moment, result=result, count=count)
--- a/indigoworks/ownership/owner_candidates.py
+++ b/indigoworks/ownership/owner_candidates.py
@@ -28,7 +28,7 @@
         self._resting = resting
         self._speed_of = speed_of
 
-    def leavers(self, table: OwnershipTable) -> dict[str, str]:
+    def servers_to_drain(self, table: OwnershipTable) -> dict[str, str]:
         """Return the owners that are to lose their ranges, with the reason."""
         leavers: dict[str, str] = {}
         for owned in table.ranges:
--- a/indigoworks/ownership/ownership_tables.py
+++ b/indigoworks/ownership/ownership_tables.py
@@ -32,7 +32,7 @@
         """Return the table of a service; an empty one where there is none."""
         return self._tables.get(service) or OwnershipTable.empty(service)
 
-    def has_any_of(self, era: int) -> bool:
+    def has_tables_of(self, era: int) -> bool:
         """Tell whether any table of an era of the store is known."""
         return any(each.ranges and each.version.era == era for each in self._tables.values())
 
@@ -41,7 +41,7 @@
         table = self._tables.get(service)
         return None if table is None else table.find(key)
 
-    def note_beat(self, beat: LeaderBeat) -> None:
+    def apply_beat(self, beat: LeaderBeat) -> None:
         """Take the pending ranges of the leader's newest beat."""
         pending: dict[str, list[PendingRange]] = {}
         for each in beat.pending:
--- a/indigoworks/ownership/range_keeper.py
+++ b/indigoworks/ownership/range_keeper.py
@@ -36,7 +36,7 @@
     cut off sends nothing more.
 
     :ivar is_granted: the owner has answered a grant of this range.
-    :ivar wants_token: the owner has seen a higher token: the range needs a new one.
+    :ivar needs_token: the owner has seen a higher token: the range needs a new one.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         )
         self._on_granted = on_granted
         self.is_granted = False
-        self.wants_token = False
+        self.needs_token = False
         self.task: asyncio.Task[None] | None = None
         self._is_quiet = self._is_passing = False
         self._is_reached = False
@@ -76,7 +76,7 @@
         self._no_order.set()
 
     @property
-    def wants_fence(self) -> bool:
+    def needs_fence(self) -> bool:
         """Tell whether the owner answers again after it left a grant of these keys unanswered.
 
         Under a new token the owner refuses the one that it may still take late.
@@ -84,16 +84,16 @@
         return self.is_granted and self._is_reached and self._may_be_late()
 
     def _may_be_late(self) -> bool:
-        return self._bounds.may_be_late(self.owned.server_id, self.owned.first, self.owned.last)
+        return self._bounds.may_apply_late(self.owned.server_id, self.owned.first, self.owned.last)
 
     @property
-    def wants_return(self) -> RangeMove | None:
+    def return_move(self) -> RangeMove | None:
         """Return the move of the range back to a server that answers; None: it is not to be made.
 
         The server has released the keys and may take an earlier grant late. As their owner it
         serves them, and its answer to a grant under a new token rules the late one out.
         """
-        server_id = self._former.answers_late
+        server_id = self._former.late_grant_server_id
         if self.is_granted or server_id is None:
             return None
         first, last = self.owned.first, self.owned.last
@@ -107,7 +107,7 @@
 
     def stop(self) -> None:
         """End the task; an order that is under way counts as not answered."""
-        self._reach.drop_sender(self.owned.server_id, self)
+        self._reach.forget_sender(self.owned.server_id, self)
         if self.task is not None:
             self.task.cancel()
 
@@ -118,7 +118,7 @@
         """
         self._is_quiet = True
         await self._no_order.wait()
-        self._reach.drop_sender(self.owned.server_id, self)
+        self._reach.forget_sender(self.owned.server_id, self)
 
     def resume(self) -> None:
         """Renew again: the row leaves the range with its owner."""
@@ -130,7 +130,7 @@
         try:
             await self._grant()
         finally:
-            self._reach.drop_sender(self.owned.server_id, self)
+            self._reach.forget_sender(self.owned.server_id, self)
         return self._last_result
 
     async def release_from(self, server_id: str) -> bool:
@@ -148,7 +148,7 @@
 
     async def _grant(self) -> float:
         """Send a grant or renewal in its turn; returns the pause until the next, in seconds."""
-        async with self._reach.line(self.owned.server_id):
+        async with self._reach.grant_lock(self.owned.server_id):
             return await self._grant_in_turn()
 
     async def _grant_in_turn(self) -> float:
@@ -161,19 +161,19 @@
         grant = KeyGrant(
             self.owned.first, self.owned.last, self.owned.token, hold_s, self._former.handover
         )
-        self._bounds.open(self.owned, hold_s, ORDER_TIMEOUT_S)
+        self._bounds.record_sent(self.owned, hold_s, ORDER_TIMEOUT_S)
         self._no_order.clear()
         if self._is_passing:
             self._is_passing = False
-            self._log.passed()
+            self._log.log_transfer()
         try:
-            with self._log.order(
+            with self._log.track_order(
                 "grant", record.server_id, grant.token, ORDER_TIMEOUT_S, hold_s
             ) as order:
                 outcome = await self._orders.grant(record, grant, ORDER_TIMEOUT_S, self._may_send)
                 order.result = outcome.result
         except asyncio.CancelledError:
-            self._bounds.close_unanswered(self.owned)
+            self._bounds.record_unanswered(self.owned)
             raise
         finally:
             self._no_order.set()
@@ -184,10 +184,10 @@
 
     def _note_outcome(self, outcome: OrderOutcome, hold_s: float) -> float:
         result = self._last_result = outcome.result
-        self._reach.note(self.owned.server_id, result, self)
+        self._reach.record_result(self.owned.server_id, result, self)
         self._is_reached = result is OrderResult.DONE
         if result is OrderResult.DONE:
-            self._bounds.close_answered(self.owned, hold_s)
+            self._bounds.record_answered(self.owned, hold_s)
             if not self.is_granted:
                 self.is_granted = True
                 self._log.log(
@@ -197,15 +197,15 @@
             self._former.handover = None
             return self._until_renewal_s()
         if result is OrderResult.UNANSWERED:
-            self._bounds.close_unanswered(self.owned)
+            self._bounds.record_unanswered(self.owned)
         else:
-            self._bounds.close_not_taken(self.owned)
+            self._bounds.record_not_applied(self.owned)
         if outcome.is_from_other(self.owned.server_id):
             by_server_id = outcome.answering_id or ""
             sign = ReplacementSign.ORDER
             self._servers.note_replaced(self.owned.server_id, by_server_id, sign)
         if result is OrderResult.FENCED:
-            self.wants_token = True
+            self.needs_token = True
             self.is_granted = False
             self._log.log("range:fenced", level="WARNING")
             return RENEWAL_S
--- a/indigoworks/ownership/range_log.py
+++ b/indigoworks/ownership/range_log.py
@@ -10,10 +10,10 @@
 from indigoworks.ownership.leader_log import left_s
 from indigoworks.ownership.leader_proof import proof_fields
 from indigoworks.ownership.leadership import Leadership
-from indigoworks.ownership.order_watch import OrderWatch
+from indigoworks.ownership.order_tracker import OrderTracker
 from indigoworks.ownership.owned_range import FormerOwner, OwnedRange
-from indigoworks.ownership.passing_proof import PassingProof
 from indigoworks.ownership.sent_order import SentOrder
+from indigoworks.ownership.transfer_proof import TransferProof
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     own_until_s: float = float("-inf")
     token: int | None = None
     predecessor_until_s: float = float("-inf")
-    proof: PassingProof | None = None
+    proof: TransferProof | None = None
     proved_s: float = float("-inf")
     tries: int = 0
 
@@ -41,7 +41,7 @@
         owned: OwnedRange,
         leadership: Leadership,
         bounds: HoldBounds,
-        orders: OrderWatch,
+        orders: OrderTracker,
         clock: Clock,
     ) -> None:
         self._service = service
@@ -52,7 +52,7 @@
         self._clock = clock
         self._passings: dict[str, _Passing] = {}
 
-    def order(
+    def track_order(
         self, kind: str, server_id: str, token: int, timeout_s: float, hold_s: float | None = None
     ) -> AbstractContextManager[SentOrder]:
         """Follow an order that is about to be sent; its result is to be set inside."""
@@ -68,11 +68,11 @@
             hold_s,
             self._clock.now(),
         )
-        return self._orders.follow(order, self._leadership)
+        return self._orders.track(order, self._leadership)
 
     # ---- former owners ----
 
-    def look_at(self, former: FormerOwner) -> None:
+    def record_bounds(self, former: FormerOwner) -> None:
         """Take note of the bounds of a former owner's holds, before an answer closes them."""
         passing = self._passings.setdefault(former.server_id, _Passing(self._clock.now()))
         until_s, token = self._bounds.last_grant(former.server_id, *self._keys())
@@ -81,18 +81,18 @@
         passing.predecessor_until_s = self._bounds.predecessor_until_s
         passing.tries += 1
 
-    def bound_that_ended(self, server_id: str) -> PassingProof:
+    def expired_bound(self, server_id: str) -> TransferProof:
         """Return which of this process's and its predecessor's bounds ended last."""
         passing = self._passings[server_id]
         bounds_s = {
-            PassingProof.PREDECESSOR_BOUND: passing.predecessor_until_s,
-            PassingProof.OWN_BOUND: passing.own_until_s,
+            TransferProof.PREDECESSOR_BOUND: passing.predecessor_until_s,
+            TransferProof.OWN_BOUND: passing.own_until_s,
         }
         # Of its own grants of earlier epochs a leader may know while its rules go by other bounds.
         ended = [each for each in bounds_s if float("-inf") < bounds_s[each] < self._clock.now()]
-        return max(ended, key=lambda each: bounds_s[each], default=PassingProof.NO_BOUND)
+        return max(ended, key=lambda each: bounds_s[each], default=TransferProof.NO_BOUND)
 
-    def ruled_out(self, former: FormerOwner, proof: PassingProof) -> None:
+    def log_ruled_out(self, former: FormerOwner, proof: TransferProof) -> None:
         """Tell that a former owner holds no key of the range any more."""
         passing = self._passings[former.server_id]
         passing.proof = proof
@@ -105,7 +105,7 @@
             tries=passing.tries - 1,
         )
 
-    def waits(self, former: FormerOwner, is_listed: bool) -> None:
+    def log_wait(self, former: FormerOwner, is_listed: bool) -> None:
         """Tell for what the range has waited long."""
         bound_s = self._bounds.until_s(former.server_id, *self._keys())
         own_s = self._bounds.own_until_s(former.server_id, *self._keys())
@@ -119,18 +119,18 @@
 
     # ---- the owner ----
 
-    def passed(self) -> None:
+    def log_transfer(self) -> None:
         """Tell that the first grant to the owner is sent: one line for each former owner."""
         for former in self._owned.former:
             if former.server_id != self._owned.server_id:
                 if former.server_id not in self._passings:
-                    self.look_at(former)
+                    self.record_bounds(former)
                 self._log_passed(former, self._passings[former.server_id])
 
     def _log_passed(self, former: FormerOwner, passing: _Passing) -> None:
         now_s = self._clock.now()
-        grants, oldest_s = self._orders.on_keys("grant", former.server_id, *self._keys())
-        releases, _ = self._orders.on_keys("release", former.server_id, *self._keys())
+        grants, oldest_s = self._orders.open_on_keys("grant", former.server_id, *self._keys())
+        releases, _ = self._orders.open_on_keys("release", former.server_id, *self._keys())
         bound_of, bound_epoch = self._bound_of(passing.proof)
         self.log(
             "range:passed",
@@ -147,12 +147,12 @@
             oldest_unanswered_s=oldest_s,
         )
 
-    def _bound_of(self, proof: PassingProof | None) -> tuple[str | None, int | None]:
+    def _bound_of(self, proof: TransferProof | None) -> tuple[str | None, int | None]:
         """Return whose bound a proof is, and the epoch of that leader where it is known."""
-        if proof is PassingProof.OWN_BOUND:
+        if proof is TransferProof.OWN_BOUND:
             return "this_leader", self._leadership.row.epoch
-        if proof is PassingProof.PREDECESSOR_BOUND:
-            return "predecessor", self._leadership.acted_before().epoch
+        if proof is TransferProof.PREDECESSOR_BOUND:
+            return "predecessor", self._leadership.previous_leader_row().epoch
         return None, None
 
     def _keys(self) -> tuple[int, int]:
--- a/indigoworks/ownership/range_cutter.py
+++ b/indigoworks/ownership/range_splitter.py
@@ -3,17 +3,17 @@
 from indigoworks.ownership.load_window import LoadWindow
 from indigoworks.ownership.owned_range import OwnedRange
 
-EXCESS = 1.2
+MAX_EXCESS_RATIO = 1.2
 """A part may carry so many times what is wanted."""
 
 
-class RangeCutter:
+class RangeSplitter:
     """Cuts ranges by the requests of a window; nothing here decides what moves."""
 
     def __init__(self, window: LoadWindow) -> None:
         self._window = window
 
-    def piece(self, owned: OwnedRange, wanted_hits: float) -> tuple[int, int] | None:
+    def part_for_load(self, owned: OwnedRange, wanted_hits: float) -> tuple[int, int] | None:
         """Return a part of a range that carries at most about `wanted_hits`; None: there is none.
 
         Of its two ends the one that carries more, and among equals the narrower one.
@@ -22,7 +22,7 @@
         total = sum(weight for _, weight in hits)
         if total <= 0:
             return None
-        if total <= wanted_hits * EXCESS:
+        if total <= wanted_hits * MAX_EXCESS_RATIO:
             return owned.first, owned.last
         left = self._cut(hits, wanted_hits)
         right = self._cut(hits[::-1], wanted_hits)
@@ -47,7 +47,7 @@
             while index < len(hits) and hits[index][0] == key:
                 total += hits[index][1]
                 index += 1
-            if total > wanted_hits * EXCESS:
+            if total > wanted_hits * MAX_EXCESS_RATIO:
                 return cut
             cut = key
         return cut
--- a/indigoworks/ownership/resting_owners.py
+++ b/indigoworks/ownership/resting_owners.py
@@ -7,7 +7,7 @@
 from indigoworks.ownership.load_window import LoadWindow
 from indigoworks.ownership.ownership_table import OwnershipTable
 from indigoworks.ownership.server_capacity import ServerCapacity
-from indigoworks.ownership.server_load_share import requests_of
+from indigoworks.ownership.server_load_share import requests_by_server
 from indigoworks.servers.server_source import ServerSource
 
 MIN_REST_TO_MOVE_S = 1.0
@@ -59,11 +59,11 @@
         stayers: Sequence[ServerCapacity],
     ) -> bool:
         """Tell whether `stayers` stay below HIGH_UTILISATION in the mean with all these keys."""
-        hits = sum(requests_of(table, window, stayers).values())
+        hits = sum(requests_by_server(table, window, stayers).values())
         hits += sum(
             window.count_between(each.first, each.last)
             for server_id in resting
             for each in table.ranges_of(server_id)
         )
-        capacity_per_s = sum(each.taken_per_s for each in stayers)
+        capacity_per_s = sum(each.usable_per_s for each in stayers)
         return hits / window.covered_s <= HIGH_UTILISATION * capacity_per_s
--- a/indigoworks/ownership/server_capacity.py
+++ b/indigoworks/ownership/server_capacity.py
@@ -21,6 +21,6 @@
         return self.limit_per_s < self.requests_per_s
 
     @property
-    def taken_per_s(self) -> float:
+    def usable_per_s(self) -> float:
         """Return the requests a second that it takes."""
         return min(self.requests_per_s, self.limit_per_s)
--- a/indigoworks/ownership/server_load_share.py
+++ b/indigoworks/ownership/server_load_share.py
@@ -7,7 +7,7 @@
 from indigoworks.ownership.server_capacity import ServerCapacity
 
 
-def requests_of(
+def requests_by_server(
     table: OwnershipTable, window: LoadWindow, servers: Sequence[ServerCapacity]
 ) -> dict[str, float]:
     """Return by server the requests of a window for the keys that it owns."""
@@ -22,4 +22,4 @@
 
 def utilisation(requests: float, server: ServerCapacity, window: LoadWindow) -> float:
     """Return the share of its slots, or of its limit, that so many requests in the window use."""
-    return requests / window.covered_s / server.taken_per_s
+    return requests / window.covered_s / server.usable_per_s
--- a/indigoworks/ownership/server_orders.py
+++ b/indigoworks/ownership/server_orders.py
@@ -12,7 +12,7 @@
 MaySend = Callable[[], bool]
 """Tells whether an order may still go out; its bytes follow without any wait in between."""
 
-TakeNotice = Callable[[str, ServerNotice], None]
+NoticeListener = Callable[[str, ServerNotice], None]
 """Takes the id of a server and what it asked for in an answer."""
 
 
@@ -23,7 +23,7 @@
     `may_send` is asked after all that. Where it says no the outcome is WITHHELD.
     """
 
-    def hear(self, listener: TakeNotice) -> None:
+    def add_notice_listener(self, listener: NoticeListener) -> None:
         """Tell `listener` what servers ask for in their answers to orders."""
         ...
 
--- a/indigoworks/ownership/server_reach.py
+++ b/indigoworks/ownership/server_reach.py
@@ -6,9 +6,9 @@
 from eliot import log_message
 
 from indigoworks.common.clock import Clock
-from indigoworks.ownership.hold_bounds import LATE_ORDER_S
+from indigoworks.ownership.hold_bounds import MAX_ORDER_DELAY_S
 from indigoworks.ownership.order_outcome import OrderResult
-from indigoworks.ownership.order_watch import OrderWatch
+from indigoworks.ownership.order_tracker import OrderTracker
 
 LOST_S = 0.4
 """A server that no order has reached for so long since the first failure is to lose its ranges."""
@@ -17,7 +17,7 @@
 """And so many orders in a row must have failed."""
 
 
-DOUBT_S = LATE_ORDER_S
+DOUBT_S = MAX_ORDER_DELAY_S
 """A server that left an order unanswered may do so again: it is doubted for as long as it may take
 that one late."""
 
@@ -47,7 +47,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.orders = OrderWatch(clock)
+        self.orders = OrderTracker(clock)
         self._lines: dict[str, asyncio.Lock] = {}
         self._failures: dict[str, int] = {}
         self._first_failure_s: dict[str, float] = {}
@@ -55,7 +55,7 @@
         self._silence: dict[str, _Silence] = {}
         self._refused_since_s: dict[str, float] = {}
 
-    def line(self, server_id: str) -> asyncio.Lock:
+    def grant_lock(self, server_id: str) -> asyncio.Lock:
         """Return the lock under which grants to a server go, one after the other.
 
         What must hold when a grant is sent is looked at under it: a server that does not answer
@@ -63,7 +63,7 @@
         """
         return self._lines.setdefault(server_id, asyncio.Lock())
 
-    def note(self, server_id: str, result: OrderResult, sender: object = None) -> None:
+    def record_result(self, server_id: str, result: OrderResult, sender: object = None) -> None:
         """Take the result of an order; one that was withheld says nothing of the server.
 
         :param sender: keeper of the range that was granted; None: the order was a release.
@@ -96,7 +96,7 @@
         else:
             self._refused_since_s.pop(server_id, None)
 
-    def note_silent(self, server_id: str) -> None:
+    def mark_silent(self, server_id: str) -> None:
         """Take note that a server has not answered a release yet."""
         self._silence.setdefault(server_id, _Silence())
 
@@ -113,7 +113,7 @@
         silence = self._silence.get(server_id)
         return silence is None or silence.asker in (None, sender)
 
-    def drop_sender(self, server_id: str, sender: object) -> None:
+    def forget_sender(self, server_id: str, sender: object) -> None:
         """Take note that a keeper grants no more: another one may ask a silent server."""
         silence = self._silence.get(server_id)
         if silence is not None and silence.asker is sender:
--- a/indigoworks/ownership/server_silence.py
+++ b/indigoworks/ownership/server_silence.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from indigoworks.ownership.paced_line import PacedLine
+from indigoworks.ownership.log_throttle import LogThrottle
 
 
 @dataclass(slots=True)
@@ -14,10 +14,10 @@
     """
 
     began_s: float
-    line: PacedLine
+    throttle: LogThrottle
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, kind: str) -> int | None:
         """Count an order; returns how many a line stands for, or None: none is due."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
-        return self.line.take()
+        return self.throttle.count_event()
--- a/indigoworks/ownership/table_recovery.py
+++ b/indigoworks/ownership/table_recovery.py
@@ -8,7 +8,12 @@
 
 from indigoworks.common.clock import Clock
 from indigoworks.ownership.era_numbers import first_number
-from indigoworks.ownership.hold_bounds import CLOCK_FACTOR, LATE_ORDER_S, MARGIN_S, HoldBounds
+from indigoworks.ownership.hold_bounds import (
+    CLOCK_DRIFT_FACTOR,
+    MAX_ORDER_DELAY_S,
+    SEND_MARGIN_S,
+    HoldBounds,
+)
 from indigoworks.ownership.hold_policy import HOLD_S, HoldPolicy
 from indigoworks.ownership.keeper_set import KeeperSet
 from indigoworks.ownership.leader_lease import LEADER_LEASE_S
@@ -152,8 +157,8 @@
         for server_id in holders:
             # What a known leader granted to the owner has its bound.
             if not is_known or server_id != owned.server_id:
-                self._bounds.note_possible(server_id, owned, until_s)
-                self._bounds.note_inherited(server_id, owned.first, owned.last)
+                self._bounds.add_possible_hold(server_id, owned, until_s)
+                self._bounds.mark_inherited(server_id, owned.first, owned.last)
 
     async def _release_elsewhere(
         self, service: str, unsure: Sequence[OwnedRange], holders: frozenset[str], token: int
@@ -203,8 +208,8 @@
         """
         hold_s = HOLD_S if is_confirmed else self._policy.longest_max_s
         if not is_confirmed and not is_known:
-            hold_s = max(hold_s, LATE_ORDER_S + HOLD_S)
-        return hold_s * CLOCK_FACTOR + MARGIN_S
+            hold_s = max(hold_s, MAX_ORDER_DELAY_S + HOLD_S)
+        return hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
 
     def _acts_until_s(self) -> float:
         """Return until when a leader of a former era may act: its newest proof is older."""
--- a/indigoworks/ownership/table_writer.py
+++ b/indigoworks/ownership/table_writer.py
@@ -57,7 +57,7 @@
         """Tell whether an earlier write may still be made; the next one rules it out."""
         return service in self._unsettled
 
-    async def read_again(self) -> bool:
+    async def reread(self) -> bool:
         """Read the group's rows whole; False where this process leads no longer."""
         while self._leadership.proof_age_s() < LEADER_LEASE_S:
             result = await self._store.read(CONTROL_TABLE, self._group.part)
@@ -66,7 +66,7 @@
                 continue
             answer = result.unwrap()
             self._leadership.apply(answer.rows)
-            self._leadership.note_proof(answer.true_at_s)
+            self._leadership.record_proof(answer.true_at_s)
             self._tables.apply(answer.rows)
             return self._leadership.may_act()
         return False
@@ -83,7 +83,7 @@
                 return False
             for row in rows:
                 if row.key == LEADER_KEY:
-                    self._leadership.note_former(LeaderRow.decode(row.value, row.version))
+                    self._leadership.record_former_row(LeaderRow.decode(row.value, row.version))
             # Whoever followed that era knows its newest table: what lies above it was made late.
             if not self._leadership.knows_former_era(era):
                 self._tables.apply(rows)
@@ -137,13 +137,13 @@
             # The write may still be made: what it takes from owners is not renewed until another
             # write of this row has ruled that out.
             self._unsettled.add(table.service)
-            await self.read_again()
+            await self.reread()
             return False
         self._unsettled.discard(table.service)
-        self._leadership.note_commit(sent_s)
+        self._leadership.record_commit(sent_s)
         written = OwnershipTable(table.service, table.ranges, table.highest_token, result.unwrap())
         self._tables.put(written)
-        self._keepers.keep(table.service, written)
+        self._keepers.update(table.service, written)
         self._keepers.resume(table.service)
         self._on_pending_changed()
         log_message(
--- a/indigoworks/ownership/passing_proof.py
+++ b/indigoworks/ownership/transfer_proof.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class PassingProof(Enum):
+class TransferProof(Enum):
     """Proofs by which a range passes from a former owner to its owner."""
 
     RELEASED = "released"
--- a/indigoworks_lab/control_simulation/broken_control_rules.py
+++ b/indigoworks_lab/control_simulation/broken_control_rules.py
@@ -118,7 +118,7 @@
             "keep-leavers",
             "Ranges of servers that left stay where they are.",
             recovery_checker.CHECKER,
-            lambda: [Replacement(OwnerCandidates, "leavers", _no_leavers)],
+            lambda: [Replacement(OwnerCandidates, "servers_to_drain", _no_leavers)],
             (FaultKind.SERVER_CRASHED, 1.0, 0.0),
         ),
         *BROKEN_ORDER_RULES,
--- a/indigoworks_lab/control_simulation/broken_machine_rules.py
+++ b/indigoworks_lab/control_simulation/broken_machine_rules.py
@@ -1,8 +1,8 @@
 """Broken rules that show on machines whose processes and clocks do not run evenly."""
 
 from indigoworks.ownership import hold_bounds
-from indigoworks.ownership.hold_bounds import HoldBounds, _take_below
-from indigoworks.ownership.leader_signs import LeaderSigns
+from indigoworks.ownership.hold_bounds import HoldBounds, _remove_keys_below
+from indigoworks.ownership.leader_liveness import LeaderLiveness
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
 from indigoworks_lab.control_simulation import lease_checker, overlap_checker
 from indigoworks_lab.control_simulation.broken_control_rule import broken_control_rule
@@ -19,15 +19,15 @@
 
 
 def _close_late(bounds: HoldBounds, server_id: str, first: int, last: int, token: int) -> None:
-    for known in (bounds._settled_s, bounds._open_s, bounds._late_s, bounds._past_s):
-        _take_below(known, server_id, first, last, token)
+    for known in (bounds._settled_s, bounds._in_flight_s, bounds._unanswered_s, bounds._expired_s):
+        _remove_keys_below(known, server_id, first, last, token)
 
 
 def _is_any_other(outcome: OrderOutcome, _server_id: str) -> bool:
     return outcome.result is OrderResult.OTHER_SERVER
 
 
-def _nothing_earlier(_signs: LeaderSigns, _epoch: int) -> float:
+def _nothing_earlier(_signs: LeaderLiveness, _epoch: int) -> float:
     return float("-inf")
 
 
@@ -36,7 +36,7 @@
         "orders-to-paused-as-answered",
         "A grant that waits at a paused server counts from its sending.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(hold_bounds, "LATE_ORDER_S", -0.8)],
+        lambda: [Replacement(hold_bounds, "MAX_ORDER_DELAY_S", -0.8)],
         (FaultKind.SERVER_PAUSED, 1.0, 8.0),
         (FaultKind.SERVER_PAUSED, 10.0, 8.0),
     ),
@@ -53,7 +53,7 @@
         "release-closes-late-grants",
         "An answered release rules out grants that a server may take late.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(HoldBounds, "close_released", _close_late)],
+        lambda: [Replacement(HoldBounds, "record_released", _close_late)],
         (FaultKind.ORDERS_LATE, 0.5, 16.0),
         forgets_releases=True,
     ),
@@ -77,7 +77,7 @@
         "earlier-grants-untold",
         "A successor does not hear of what leaders before its predecessor granted.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(LeaderSigns, "announced_earlier_until_s", _nothing_earlier)],
+        lambda: [Replacement(LeaderLiveness, "announced_earlier_until_s", _nothing_earlier)],
         (FaultKind.STORE_REFUSING, 0.0, 3.0),
         (FaultKind.ORDERS_ALL_LATE, 2.5, 0.5),
         (FaultKind.SERVER_DARK, 2.9, 14.0),
--- a/indigoworks_lab/control_simulation/broken_order_rules.py
+++ b/indigoworks_lab/control_simulation/broken_order_rules.py
@@ -9,8 +9,8 @@
 from indigoworks.ownership.key_release import KeyRelease
 from indigoworks.ownership.order_outcome import OrderResult
 from indigoworks.ownership.owned_range import OwnedRange
-from indigoworks.ownership.passing_proof import PassingProof
 from indigoworks.ownership.server_reach import ServerReach
+from indigoworks.ownership.transfer_proof import TransferProof
 from indigoworks.servers.server_list import ServerList
 from indigoworks_lab.control_simulation import lease_checker, overlap_checker, work_checker
 from indigoworks_lab.control_simulation.broken_control_rule import broken_control_rule
@@ -22,17 +22,17 @@
 SHORT_S = 0.02
 SHORT_FACTOR = 0.5
 
-_close_answered = HoldBounds.close_answered
+_close_answered = HoldBounds.record_answered
 
 
-async def _release_and_go_on(owners: FormerOwners, former: str) -> PassingProof | None:
+async def _release_and_go_on(owners: FormerOwners, former: str) -> TransferProof | None:
     record = owners._servers.get(former)
     if record is None or not owners._leadership.may_act():
         return None
     release = KeyRelease(*owners._keys(), owners._owned.token - 1)
     outcome = await owners._orders.release(record, release, SHORT_S, lambda: True)
     is_sent = outcome.result in (OrderResult.DONE, OrderResult.UNANSWERED)
-    return PassingProof.RELEASED if is_sent else None
+    return TransferProof.RELEASED if is_sent else None
 
 
 def _lowest_release(first: int, last: int, _token: int) -> KeyRelease:
@@ -89,7 +89,7 @@
         "late-orders-ignored",
         "An unanswered grant counts from its sending, as if it were taken then.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(hold_bounds, "LATE_ORDER_S", -0.8)],
+        lambda: [Replacement(hold_bounds, "MAX_ORDER_DELAY_S", -0.8)],
         *LATE_THEN_CUT,
     ),
     broken_control_rule(
@@ -103,14 +103,14 @@
         "late-orders-unheard",
         "Of a leader that was never heard, only answered grants are waited for.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(predecessor_bound, "LATE_ORDER_S", 0.0)],
+        lambda: [Replacement(predecessor_bound, "MAX_ORDER_DELAY_S", 0.0)],
         *LATE_THEN_ALL_LOST,
     ),
     broken_control_rule(
         "long-holds-unheard",
         "Long holds of a leader whose last beat told of short ones are not waited for.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(predecessor_bound, "TROUBLE_S", float("inf"))],
+        lambda: [Replacement(predecessor_bound, "STORE_TROUBLE_S", float("inf"))],
         *LEADER_CUT_OFF,
         servers=5,
     ),
@@ -134,14 +134,14 @@
         "late-closed-by-same-token",
         "An answered renewal rules out an unanswered one under the same token.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(HoldBounds, "close_answered", _close_own_token)],
+        lambda: [Replacement(HoldBounds, "record_answered", _close_own_token)],
         *LATE_THEN_CUT,
     ),
     broken_control_rule(
         "unanswered-as-not-taken",
         "A grant that was not answered counts as not taken.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(HoldBounds, "close_unanswered", HoldBounds.close_not_taken)],
+        lambda: [Replacement(HoldBounds, "record_unanswered", HoldBounds.record_not_applied)],
         *LATE_THEN_CUT,
     ),
     broken_control_rule(
@@ -149,7 +149,7 @@
         "A grant is not looked at again when its turn comes.",
         lease_checker.CHECKER,
         lambda: [
-            Replacement(ServerReach, "line", _no_turns),
+            Replacement(ServerReach, "grant_lock", _no_turns),
             Replacement(NodeOrders, "grant", look_before_connection),
         ],
         (FaultKind.ORDERS_LATE, 0.5, 16.0),
@@ -160,7 +160,7 @@
         "hold-counted-short",
         "The bound of a hold is shorter than what was granted.",
         overlap_checker.CHECKER,
-        lambda: [Replacement(hold_bounds, "CLOCK_FACTOR", SHORT_FACTOR)],
+        lambda: [Replacement(hold_bounds, "CLOCK_DRIFT_FACTOR", SHORT_FACTOR)],
         (FaultKind.SERVER_CUT_FROM_LEADER, 1.0, 8.0),
         (FaultKind.SERVER_CUT_FROM_LEADER, 10.0, 6.0),
     ),
--- a/indigoworks_lab/control_simulation/broken_row_rules.py
+++ b/indigoworks_lab/control_simulation/broken_row_rules.py
@@ -24,7 +24,7 @@
 
 
 async def _grant_then_write(writer: TableWriter, table: OwnershipTable, reason: str) -> bool:
-    writer._keepers.keep(table.service, table)
+    writer._keepers.update(table.service, table)
     return await _write(writer, table, reason)
 
 
--- a/indigoworks_lab/control_simulation/node_orders.py
+++ b/indigoworks_lab/control_simulation/node_orders.py
@@ -7,7 +7,7 @@
 from indigoworks.ownership.key_grant import KeyGrant
 from indigoworks.ownership.key_release import KeyRelease
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
-from indigoworks.ownership.server_orders import MaySend, TakeNotice
+from indigoworks.ownership.server_orders import MaySend, NoticeListener
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks_lab.control_simulation.order_carrier import (
     OrderCarrier,
@@ -43,7 +43,7 @@
         self._run_outside = run_outside
         self._lines: dict[str, asyncio.Lock] = {}
 
-    def hear(self, listener: TakeNotice) -> None:
+    def add_notice_listener(self, listener: NoticeListener) -> None:
         """Tell nothing: these servers ask for nothing."""
 
     async def grant(
--- a/indigoworks_lab/control_simulation/recorded_servers.py
+++ b/indigoworks_lab/control_simulation/recorded_servers.py
@@ -8,7 +8,7 @@
 from indigoworks.ownership.key_grant import KeyGrant
 from indigoworks.ownership.key_release import KeyRelease
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
-from indigoworks.ownership.server_orders import MaySend, TakeNotice
+from indigoworks.ownership.server_orders import MaySend, NoticeListener
 from indigoworks.servers.server_record import ServerRecord
 
 
@@ -45,7 +45,7 @@
         self.spans: list[HoldSpan] = []
         self._seen: list[tuple[str, int, int, int]] = []
 
-    def hear(self, listener: TakeNotice) -> None:
+    def add_notice_listener(self, listener: NoticeListener) -> None:
         """Tell nobody anything: these servers ask for nothing."""
 
     async def grant(
--- a/indigoworks_lab/control_simulation/simulated_node.py
+++ b/indigoworks_lab/control_simulation/simulated_node.py
@@ -216,7 +216,7 @@
             boot=self.boot,
             sequence=self._sequence,
             epoch=epoch,
-            beat_age_s=leadership.signs.beat_age_s(epoch),
+            beat_age_s=leadership.liveness.beat_age_s(epoch),
             leader=self.control.beat(),
             loads=loads,
             samples=samples,
--- a/indigoworks_lab/crash_simulation/no_orders.py
+++ b/indigoworks_lab/crash_simulation/no_orders.py
@@ -3,14 +3,14 @@
 from indigoworks.ownership.key_grant import KeyGrant
 from indigoworks.ownership.key_release import KeyRelease
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
-from indigoworks.ownership.server_orders import MaySend, TakeNotice
+from indigoworks.ownership.server_orders import MaySend, NoticeListener
 from indigoworks.servers.server_record import ServerRecord
 
 
 class NoOrders:
     """Implements `ServerOrders` and sends nothing: `OwnerMoves` decides who owns what."""
 
-    def hear(self, listener: TakeNotice) -> None:
+    def add_notice_listener(self, listener: NoticeListener) -> None:
         """Tell nothing: these servers ask for nothing."""
 
     async def grant(
