--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -48,14 +48,16 @@
         self._servers = servers
         self._rates = rate_budget
         self.load = ReportedLoad(reported, peers, self._granted, clock)
-        self.board = ServerStats(self.load, clock)
-        self.unreachable = UnreachableServers(self.board, clock)
+        self.server_stats = ServerStats(self.load, clock)
+        self.unreachable = UnreachableServers(self.server_stats, clock)
         self._zone_servers = ZoneServers(zone, servers, clock)
-        self._choice = ServerSelector(self._zone_servers, self.board, rate_budget, zone, random)
-        self._room = CapacityTracker(self.board, rate_budget, _limit)
-        owners = OwnerLookup(tables, self._zone_servers, self.board, clock)
+        self._selector = ServerSelector(
+            self._zone_servers, self.server_stats, rate_budget, zone, random
+        )
+        self._capacity = CapacityTracker(self.server_stats, rate_budget, _limit)
+        owners = OwnerLookup(tables, self._zone_servers, self.server_stats, clock)
         self.queue = DispatchQueue(
-            self._choice, owners, self.board, self._room, clock, counts_all=True
+            self._selector, owners, self.server_stats, self._capacity, clock, counts_all=True
         )
 
     def has_free_slot(self, request: SlotRequest) -> bool:
@@ -65,8 +67,8 @@
             return True
         if self.queue.waiting_by_service().get(request.service):
             return False
-        usable = self._choice.usable(request.service)
-        servers = self._room.with_room(usable)
+        usable = self._selector.usable(request.service)
+        servers = self._capacity.with_room(usable)
         if all(each.server_id in request.tried for each in servers):
             return False
         return not self.queue.expectation.turn_kept_for_s((request.service, None), usable)
@@ -77,18 +79,18 @@
         :param teller: boot of the gateway that sent it.
         """
         if release.word is not None:
-            self.board.note_word(server.server_id, release.word)
+            self.server_stats.note_word(server.server_id, release.word)
             self.load.record_server_load(server.server_id, release.word)
         if release.is_unreached:
             self.unreachable.record_failure(server.server_id, reporter)
 
     def wait_s(self, request: SlotRequest) -> float:
         """Return the seconds until a slot is likely to be free for one more request."""
-        servers = self._choice.usable(request.service)
+        servers = self._selector.usable(request.service)
         if not servers:
             return float("inf")
         ahead = self.queue.waiting_by_service().get(request.service, 0)
-        load = CandidateLoad.of(servers, self.board, self._room)
+        load = CandidateLoad.of(servers, self.server_stats, self._capacity)
         # Who is refused here is promised a turn after those of all others.
         line_s = 0.0 if load.rate_per_s is None else self.queue.expectation.line_s(request.service)
         return max(load.wait_s(ahead), line_s)
@@ -102,14 +104,14 @@
         """Use servers again that have rested; forget those that left."""
         self.load.refresh()
         self.unreachable.restore_rested()
-        for server_id in self.board.known_servers():
+        for server_id in self.server_stats.known_servers():
             if self._servers.get(server_id) is None:
-                self.board.forget(server_id)
+                self.server_stats.forget(server_id)
                 self.load.forget(server_id)
                 self._rates.forget(server_id)
 
     def _granted(self, server_id: str) -> int:
-        return self.board.own_in_flight_at(server_id)
+        return self.server_stats.own_in_flight_at(server_id)
 
 
 def _limit(server: ServerRecord) -> int:
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -50,7 +50,7 @@
         tables: OwnershipTables,
         peers: PeerTable,
         directory: PeerDirectory,
-        board: ServerStats,
+        server_stats: ServerStats,
         clock: Clock,
         random: Random,
         doubts: DoubtTable,
@@ -62,20 +62,20 @@
         self._tables = tables
         self._peers = peers
         self._directory = directory
-        self._board = board
+        self._server_stats = server_stats
         self._clock = clock
         self._random = random
         self._cuts = cuts
         self._port = open_datagrams(_broker_address(own.address), self._handle_datagram)
         self.broker = SlotBroker(self._make_queue, clock)
         self.client = BrokerClient(self._send_to, clock)
-        self.choice = BrokerSelector(
+        self.selector = BrokerSelector(
             own, lambda: not self.broker.is_stopping, directory, peers, clock
         )
-        self._doubts = DoubtBroadcaster(
+        self._broadcaster = DoubtBroadcaster(
             directory, peers, self._send_to, doubts.merge, clock, random
         )
-        doubts.on_doubt = self._doubts.broadcast
+        doubts.on_doubt = self._broadcaster.broadcast
         self._local_requester = Requester(own.boot, self._handle_local_reply)
 
     async def open(self) -> None:
@@ -87,7 +87,7 @@
 
     def close(self) -> None:
         """Close the socket."""
-        self._doubts.close()
+        self._broadcaster.close()
         self.client.close()
         self._port.close()
 
@@ -108,7 +108,7 @@
             servers,
             self._tables,
             self._peers,
-            self._board.in_flight,
+            self._server_stats.in_flight,
             rate_budget,
             self._clock,
             self._random,
@@ -137,7 +137,7 @@
         elif isinstance(content, SlotReply):
             self.client.handle_reply(content)
         elif isinstance(content, DoubtNotice):
-            self._doubts.handle_notice(content)
+            self._broadcaster.handle_notice(content)
         else:
             self.broker.handle_release(requester.boot, content)
 
--- a/indigoworks/broker/brokered_locks.py
+++ b/indigoworks/broker/brokered_locks.py
@@ -41,8 +41,8 @@
 class BrokeredLocks:
     """Implements `AttemptLocks`: the same broker for all gateways that hear the same ones."""
 
-    def __init__(self, choice: BrokerSelector, client: BrokerClient, clock: Clock) -> None:
-        self._choice = choice
+    def __init__(self, selector: BrokerSelector, client: BrokerClient, clock: Clock) -> None:
+        self._selector = selector
         self._client = client
         self._clock = clock
 
@@ -56,7 +56,7 @@
         the lock would end a server whenever a reply is lost.
         """
         while True:
-            broker = self._choice.broker(f"suspects-{mark % MAX_BROKERS}", ANY_ZONE)
+            broker = self._selector.broker(f"suspects-{mark % MAX_BROKERS}", ANY_ZONE)
             if broker is None:
                 return None
             found = await self._ask(broker, mark, limit_s, lease_s)
@@ -74,14 +74,14 @@
         request = self._request(mark, limit_s, lease_s)
         reply = await self._client.ask(broker, request)
         if reply is None:
-            self._choice.record_unanswered(broker.node)
+            self._selector.record_unanswered(broker.node)
             return None
-        self._choice.record_reply(broker.node)
+        self._selector.record_reply(broker.node)
         if reply.outcome is SlotOutcome.REFUSED:
             return reply.refusal
         if reply.outcome is SlotOutcome.GRANTED:
             return BrokeredLock(self._client, broker, request.number)
-        self._choice.exclude(broker.node)
+        self._selector.exclude(broker.node)
         return None
 
     def _request(self, mark: int, limit_s: float, lease_s: float) -> SlotRequest:
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -74,7 +74,7 @@
         self,
         zone: str,
         local: DispatchQueue,
-        choice: BrokerSelector,
+        selector: BrokerSelector,
         client: BrokerClient,
         servers: ServerSource,
         owners: OwnerLookup,
@@ -84,7 +84,7 @@
     ) -> None:
         self._zone = zone
         self._local = local
-        self._choice = choice
+        self._selector = selector
         self._client = client
         self._servers = servers
         self._owners = owners
@@ -179,7 +179,7 @@
 
     async def _ask_in(self, entry: WaitingRequest, zone: str, may_wait: bool) -> Placement | None:
         """Return what the broker of a zone says; None: no slot there, or no broker answers."""
-        broker = self._choice.broker(entry.service, zone)
+        broker = self._selector.broker(entry.service, zone)
         request = self._request(entry, zone, may_wait)
         if broker is None or request is None:
             return None
@@ -256,12 +256,12 @@
         self, broker: PeerAddress, entry: WaitingRequest, reply: SlotReply | None
     ) -> None:
         if reply is None:
-            is_left = self._choice.record_unanswered(broker.node)
+            is_left = self._selector.record_unanswered(broker.node)
         elif reply.outcome is SlotOutcome.DECLINED:
-            self._choice.exclude(broker.node)
+            self._selector.exclude(broker.node)
             is_left = True
         else:
-            self._choice.record_reply(broker.node)
+            self._selector.record_reply(broker.node)
             return
         log_message(
             message_type="broker:failed",
--- a/indigoworks/broker/lock_table.py
+++ b/indigoworks/broker/lock_table.py
@@ -10,7 +10,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 
-PAUSE_AFTER_SERVER_END_S = 1.1
+PAUSE_AFTER_CRASH_S = 1.1
 """After a try under which a server ended the next one waits for so long. Ends within a second count
 once, for servers also end together for other reasons: with a try in hand at each of several servers
 that end in one second a harmful request would end many before it is refused."""
@@ -110,7 +110,7 @@
     def _release(self, lock: _Lock, is_served: bool, has_ended_server: bool) -> None:
         now_s = self._clock.now()
         lock.holder = None
-        lock.free_s = now_s + PAUSE_AFTER_SERVER_END_S if has_ended_server else now_s
+        lock.free_s = now_s + PAUSE_AFTER_CRASH_S if has_ended_server else now_s
         if is_served:
             lock.cleared_until_s = now_s + CLEARED_S
         self._grant_waiting(lock)
@@ -137,7 +137,7 @@
         for name, waiter in [each for each in lock.waiters.items() if is_late(each[1])]:
             del lock.waiters[name]
             del self._marks[name]
-            left_s = max(PAUSE_AFTER_SERVER_END_S / 2, lock.free_s - self._clock.now())
+            left_s = max(PAUSE_AFTER_CRASH_S / 2, lock.free_s - self._clock.now())
             refusal = Refusal(RefusalReason.SUSPECT, left_s, expected_s=left_s)
             reply = SlotReply(waiter.request.number, SlotOutcome.REFUSED, refusal=refusal)
             waiter.requester.send_reply(reply)
--- a/indigoworks/broker/slot_broker.py
+++ b/indigoworks/broker/slot_broker.py
@@ -155,7 +155,7 @@
             return
         # In the same step as its placement: from here on the slot counts at its server.
         reservation.server = placement
-        reservation.started = reservation.queue.board.start(placement)
+        reservation.started = reservation.queue.server_stats.start(placement)
         reservation.reply = SlotReply(number, SlotOutcome.GRANTED, placement.server_id)
         requester.send_reply(reservation.reply)
 
@@ -164,5 +164,5 @@
             assert reservation.task is not None
             reservation.task.cancel()
             return
-        reservation.queue.board.finish(reservation.server, reservation.started, is_served)
+        reservation.queue.server_stats.finish(reservation.server, reservation.started, is_served)
         reservation.queue.queue.release(reservation.entry, reservation.started)
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -6,7 +6,7 @@
 
 from result import Ok
 
-from indigoworks.broker.lock_table import CLEARED_S, PAUSE_AFTER_SERVER_END_S
+from indigoworks.broker.lock_table import CLEARED_S, PAUSE_AFTER_CRASH_S
 from indigoworks.broker.stored_lock import StoredLock, decode_lock, encode_lock
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.refusal import Refusal, RefusalReason
@@ -128,8 +128,8 @@
             if self._clock.now() + POLL_INTERVAL_S >= limit_s:
                 return Refusal(
                     RefusalReason.SUSPECT,
-                    PAUSE_AFTER_SERVER_END_S / 2,
-                    expected_s=PAUSE_AFTER_SERVER_END_S / 2,
+                    PAUSE_AFTER_CRASH_S / 2,
+                    expected_s=PAUSE_AFTER_CRASH_S / 2,
                 )
             await self._clock.sleep(POLL_INTERVAL_S)
         return None
@@ -140,7 +140,7 @@
             return
         until_ms = EXPIRED_MS
         if has_ended_server or is_served:
-            until_ms = self._store_ms_in(CLEARED_S if is_served else PAUSE_AFTER_SERVER_END_S)
+            until_ms = self._store_ms_in(CLEARED_S if is_served else PAUSE_AFTER_CRASH_S)
         ended = replace(lock, until_ms=until_ms, is_open=is_served)
         is_kept = until_ms == EXPIRED_MS
         if is_kept:
--- a/indigoworks/broker/unreachable_servers.py
+++ b/indigoworks/broker/unreachable_servers.py
@@ -17,8 +17,8 @@
 class UnreachableServers:
     """Takes servers out of use for a while on the word of several gateways."""
 
-    def __init__(self, board: ServerStats, clock: Clock) -> None:
-        self._board = board
+    def __init__(self, server_stats: ServerStats, clock: Clock) -> None:
+        self._server_stats = server_stats
         self._clock = clock
         self._reports: dict[str, dict[str, float]] = {}
         self._until_s: dict[str, float] = {}
@@ -30,7 +30,7 @@
         tellers[reporter] = now_s
         recent = [each for each, at_s in tellers.items() if now_s - at_s <= REPORT_VALID_S]
         if len(recent) >= MIN_REPORTERS:
-            self._board.set_down(server_id, True)
+            self._server_stats.set_down(server_id, True)
             self._until_s[server_id] = now_s + REST_S
 
     def restore_rested(self) -> None:
@@ -39,7 +39,7 @@
         for server_id in [each for each, until_s in self._until_s.items() if until_s <= now_s]:
             del self._until_s[server_id]
             self._reports.pop(server_id, None)
-            self._board.set_down(server_id, False)
+            self._server_stats.set_down(server_id, False)
         for server_id, tellers in list(self._reports.items()):
             if all(now_s - at_s > REPORT_VALID_S for at_s in tellers.values()):
                 del self._reports[server_id]
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -116,7 +116,7 @@
         placer = BrokeredQueue(
             settings.zone,
             self.queue,
-            self.brokers.choice,
+            self.brokers.selector,
             self.brokers.client,
             platform.servers,
             owners,
@@ -167,7 +167,7 @@
             AttemptGate(
                 self._harm,
                 GroupLocks(
-                    BrokeredLocks(self.brokers.choice, self.brokers.client, clock),
+                    BrokeredLocks(self.brokers.selector, self.brokers.client, clock),
                     self._stored_locks,
                     self._cuts,
                 ),
--- a/indigoworks/router/route_finder.py
+++ b/indigoworks/router/route_finder.py
@@ -17,7 +17,7 @@
 
     def find(self, view: RoutingView, request: RoutedRequest) -> Route | None:
         """Return the route, or None if no live server owns the key."""
-        assignment = view.assignment(request.caller.service, request.place)
+        assignment = view.assignment(request.caller.service, request.position)
         if assignment is None or not assignment.owner:
             return None
         server = view.server(assignment.owner, assignment.owner_incarnation)
--- a/indigoworks/router/routed_request.py
+++ b/indigoworks/router/routed_request.py
@@ -19,7 +19,7 @@
     :ivar reroutes: number of times that it was rerouted after its route had changed.
     :ivar waited_s: total time spent waiting for a changed route.
     :ivar lost_answer: error of the first lost answer; if set, the outcome is never "not run".
-    :ivar place: position of the key on the ring.
+    :ivar position: hash of the key, its position on the ring.
     """
 
     caller: CallerRequest
@@ -30,7 +30,7 @@
     reroutes: int = 0
     waited_s: float = 0.0
     lost_answer: RouterError | None = None
-    place: int = field(init=False)
+    position: int = field(init=False)
 
     def __post_init__(self) -> None:
-        self.place = key_hash(self.caller.key)
+        self.position = key_hash(self.caller.key)
--- a/indigoworks/router/routing_view.py
+++ b/indigoworks/router/routing_view.py
@@ -35,10 +35,10 @@
     routers: tuple[RouterPeer, ...]
     routers_version: int = 0
 
-    def assignment(self, service: str, place: int) -> RangeAssignment | None:
-        """Return the range of `service` that contains `place`, or None."""
+    def assignment(self, service: str, position: int) -> RangeAssignment | None:
+        """Return the range of `service` that contains `position`, or None."""
         table = self.tables.get(service)
-        return None if table is None else table.find(place)
+        return None if table is None else table.find(position)
 
     def server(self, name: str, incarnation: str) -> ServerRecord | None:
         """Return the server if it is known, not lost and has that incarnation, else None."""
