--- a/features/steps/controller_steps.py
+++ b/features/steps/controller_steps.py
@@ -53,7 +53,7 @@
     def lost_servers(self):
         return self.lost
 
-    def is_answering(self, server):
+    def is_responding(self, server):
         return server not in self.lost
 
 
--- a/indigoworks/controller/control_state.py
+++ b/indigoworks/controller/control_state.py
@@ -23,9 +23,9 @@
 
 
 class ReplicatedControlState:
-    """Applies committed commands. Every controller of a group holds the same state.
+    """State machine of the control log; the same on every controller of a group.
 
-    :ivar version: log index of the newest command that changed what views show.
+    :ivar version: log index of the newest command that changed the content of views.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -50,28 +50,28 @@
 
     @property
     def settings(self) -> ReplaceSettings:
-        """The settings in force; version 0 means that none were ever accepted."""
+        """The settings in force; version 0 until the first settings are accepted."""
         return self._settings
 
     def settings_age_s(self) -> float:
-        """Return the seconds since the settings in force were applied here."""
+        """Return the seconds since this controller applied the settings in force."""
         return self._clock.now() - self._settings_applied_at_s
 
     def version_of_change(self, change_id: str) -> int | None:
-        """Return the version that an accepted change made, or None for an unknown change."""
+        """Return the settings version that an accepted change created, or None if it is unknown."""
         for change in self._settings.recent_changes:
             if change.change_id == change_id:
                 return change.version
         return None
 
     def servers(self) -> Sequence[Server]:
-        """Return all servers, by name."""
+        """Return all servers, sorted by name."""
         if self._servers_in_order is None:
             self._servers_in_order = [self._servers[name] for name in sorted(self._servers)]
         return self._servers_in_order
 
     def servers_of(self, service: str) -> Sequence[Server]:
-        """Return the servers of `service`, by name."""
+        """Return the servers of `service`, sorted by name."""
         found = self._servers_by_service.get(service)
         if found is None:
             found = [server for server in self.servers() if server.service == service]
@@ -79,38 +79,38 @@
         return found
 
     def server(self, name: str) -> Server | None:
-        """Return the server called `name`, if it is known."""
+        """Return the server named `name`, or None if it is not registered."""
         return self._servers.get(name)
 
     def ranges(self, service: str | None = None) -> Sequence[RangeRecord]:
-        """Return the ranges of `service`, or of all services, by service and start."""
+        """Return the ranges of `service`, or of all services, sorted by service and start."""
         return self._ranges.all() if service is None else self._ranges.of_service(service)
 
     def ranges_of(self, server: Server) -> Sequence[RangeRecord]:
-        """Return the ranges owned by this run of the server."""
-        owned = self.ranges_of_all_runs(server.name)
+        """Return the ranges owned by this incarnation of the server."""
+        owned = self.ranges_of_all_incarnations(server.name)
         return [each for each in owned if each.owner_incarnation == server.incarnation]
 
-    def ranges_of_all_runs(self, server_name: str) -> Sequence[RangeRecord]:
-        """Return the ranges owned by any run of a server; the same list until they change."""
+    def ranges_of_all_incarnations(self, server_name: str) -> Sequence[RangeRecord]:
+        """Return the ranges owned by any incarnation; the same list object until they change."""
         return self._ranges.of_owner(server_name)
 
     def unowned_ranges(self) -> Sequence[RangeRecord]:
-        """Return the ranges that nobody owns."""
+        """Return the ranges without an owner."""
         return self._ranges.of_owner("")
 
     def releasing_ranges(self) -> Sequence[RangeRecord]:
-        """Return the ranges whose owners were asked to release them."""
+        """Return the ranges whose owner was asked to release them."""
         return self._ranges.releasing()
 
     def ranges_outside_generation(self, generation: int) -> Sequence[RangeRecord]:
-        """Return the ranges that were granted in another generation."""
+        """Return the ranges that were granted in any other generation."""
         return self._ranges.outside_generation(generation)
 
     def to_message(self, services: Iterable[str] = ()) -> ControlState:
         """Return the state as one message.
 
-        :param services: services wanted; empty for all.
+        :param services: services to include; empty for all.
         """
         wanted = frozenset(services)
         return ControlState(
@@ -140,18 +140,18 @@
             self._replace_settings(index, command.replace_settings)
 
     def snapshot(self) -> bytes:
-        """Return the whole state, for a lagging member or a checkpoint."""
+        """Return the whole state, for a member that is behind or for a checkpoint."""
         message = self.to_message()
         message.last_index = self._applied_index
         message.recent_changes.extend(self._settings.recent_changes)
         return message.SerializeToString()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with a snapshot."""
         message = ControlState.FromString(snapshot)
         self._applied_index = message.last_index
         self._servers = {server.name: server for server in message.servers}
-        self._forget_server_lists()
+        self._invalidate_server_lists()
         self._ranges = RangeIndex()
         for record in message.ranges:
             self._ranges.put(record)
@@ -171,7 +171,7 @@
 
     def _put_server(self, index: int, server: Server) -> None:
         self._servers[server.name] = server
-        self._forget_server_lists()
+        self._invalidate_server_lists()
         self._record_change(index)
         self.history.add_server(index, server)
 
@@ -185,8 +185,8 @@
         self._put_server(index, changed)
 
     def _change_ranges(self, index: int, change: ChangeRanges) -> None:
-        # The leader computed the change from an earlier state. If any record has moved since,
-        # the whole change is void: the leader looks again and proposes anew.
+        # The leader computed the change from an earlier state. If any record has changed since,
+        # the whole command is ignored; the leader applies its rules again and proposes a new one.
         for record in change.expected:
             if self._ranges.get(record.service, record.start) != record:
                 return
@@ -201,7 +201,7 @@
         self.history.add_ranges(index, applied)
 
     def _with_token(self, index: int, replacement: RangeRecord) -> RangeRecord:
-        """Return the record with a new token where the proposal asks for one by token 0."""
+        """Return the record, with a new token if the proposal left it 0 and names an owner."""
         record = RangeRecord()
         record.CopyFrom(replacement)
         if record.token == 0 and record.owner:
@@ -209,7 +209,7 @@
         return record
 
     def _replace_settings(self, index: int, settings: ReplaceSettings) -> None:
-        # Versions never go back: a late proposal of an older version is void.
+        # Versions never decrease: a late proposal of an older version is ignored.
         if settings.version < self._settings.version:
             return
         is_new_generation = settings.generation > self._settings.generation
@@ -219,14 +219,14 @@
         self._settings_index = index
         self._settings_applied_at_s = self._clock.now()
         self._record_change(index)
-        for_views = ReplaceSettings()
-        for_views.CopyFrom(settings)
-        del for_views.recent_changes[:]
-        self.history.add_settings(index, for_views)
+        view_settings = ReplaceSettings()
+        view_settings.CopyFrom(settings)
+        del view_settings.recent_changes[:]
+        self.history.add_settings(index, view_settings)
 
     def _record_change(self, index: int) -> None:
         self.version = index
 
-    def _forget_server_lists(self) -> None:
+    def _invalidate_server_lists(self) -> None:
         self._servers_in_order = None
         self._servers_by_service.clear()
--- a/indigoworks/controller/controller.py
+++ b/indigoworks/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller process, apart from its HTTP server."""
+"""A controller process without its HTTP server."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -28,9 +28,9 @@
 
 
 class Controller:
-    """A member of a control group: follows the log, serves views, and leads under the lease.
+    """A control group member: replicates the log, serves views, leads while it holds the lease.
 
-    :ivar administration: answers the administration API.
+    :ivar administration: handles requests to the administration API.
     :ivar metrics: gauges of this controller.
     """
 
@@ -54,17 +54,17 @@
         self._routers = RouterRegistry(ports.clock)
         self._views = ViewPublisher(self.node, self._state, self._routers, ports.clock)
         self._reporter = RouterReporter(self.member, self.node, self._routers, ports.clock)
-        plane = ControllerControlPlane(
+        control_plane = ControllerControlPlane(
             self.node, self._state, self._routers, lambda: self._leader_tasks
         )
         self.administration = ControllerAdministration(
-            self.node, all_operations(plane), self.member
+            self.node, all_operations(control_plane), self.member
         )
         self._server = RpcServer(settings.control_address, self._handle_frame)
         self.metrics = self._make_metrics()
 
     async def start(self) -> None:
-        """Open the control port and begin.
+        """Open the control port and start the background tasks.
 
         :raises OSError: the control port cannot be bound.
         """
@@ -79,7 +79,7 @@
         )
 
     async def stop(self) -> None:
-        """Give leadership up and end."""
+        """Resign leadership and stop all tasks."""
         await self.node.stop()
         for task in self._tasks:
             task.cancel()
@@ -88,7 +88,7 @@
         log_message(message_type="controller:stopped", name=self.member.name)
 
     async def wait_failed(self) -> str:
-        """Wait until a task that this controller needs has ended by itself; return which."""
+        """Wait until a background task has ended unexpectedly; return its name."""
         return await wait_for_failure(self._tasks)
 
     def _make_node(self) -> ControlLogNode:
@@ -103,25 +103,29 @@
 
     def _make_metrics(self) -> ControllerMetrics:
         metrics = ControllerMetrics()
-        status = self.node
-        metrics.add_gauge("term", "Newest epoch known", lambda: status.status.term)
-        metrics.add_gauge("generation", "Generation of the log", lambda: status.status.generation)
-        metrics.add_gauge("commit_index", "Committed index", lambda: status.status.commit_index)
+        node = self.node
+        metrics.add_gauge("term", "Newest known term", lambda: node.status.term)
         metrics.add_gauge(
-            "is_leader", "1 while it leads", lambda: status.status.role is Role.LEADER
+            "generation", "Generation of the control log", lambda: node.status.generation
         )
-        metrics.add_gauge("ranges", "Ranges known", lambda: len(self._state.ranges()))
-        metrics.add_gauge("servers", "Servers known", lambda: len(self._state.servers()))
+        metrics.add_gauge("commit_index", "Committed log index", lambda: node.status.commit_index)
         metrics.add_gauge(
-            "live_routers", "Routers that polled lately", lambda: len(self._routers.live_routers())
+            "is_leader", "1 while this controller leads", lambda: node.status.role is Role.LEADER
         )
+        metrics.add_gauge("ranges", "Number of ranges", lambda: len(self._state.ranges()))
+        metrics.add_gauge("servers", "Number of servers", lambda: len(self._state.servers()))
         metrics.add_gauge(
-            "settings_version", "Version in force", lambda: self._state.settings.version
+            "live_routers",
+            "Routers that polled recently",
+            lambda: len(self._routers.live_routers()),
+        )
+        metrics.add_gauge(
+            "settings_version", "Settings version in force", lambda: self._state.settings.version
         )
         return metrics
 
-    def _spawn(self, work: Coroutine[Any, Any, None], name: str) -> None:
-        self._tasks.append(asyncio.create_task(work, name=name))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> None:
+        self._tasks.append(asyncio.create_task(coroutine, name=name))
 
     async def _lead_when_leader(self) -> None:
         while True:
--- a/indigoworks/controller/controller_administration.py
+++ b/indigoworks/controller/controller_administration.py
@@ -1,4 +1,4 @@
-"""Administration on a controller: answered here by the leader, else passed to it."""
+"""Administration API on a controller: the leader handles requests, others forward them."""
 
 from result import Result
 
@@ -14,34 +14,34 @@
 from indigoworks.wire.errors import ConnectFailed, RefusedByPeer, WireError
 from indigoworks.wire.rpc_client import RpcClient
 
-PASS_ON_TIMEOUT_S = 10.0
-"""Longest wait for the leader; a settings change may resolve lost answers meanwhile."""
+FORWARD_TIMEOUT_S = 10.0
+"""Longest wait for the leader, which may first have to resolve a table write with a lost reply."""
 
 MAX_HOPS = 2
-"""Times a request is passed on, at most; two controllers may take each other for the leader."""
+"""Most times a request is forwarded: two controllers may each believe the other is the leader."""
 
 LOCAL_PATHS = ("/admin/v1/health",)
-"""Paths that concern this process and are never passed on."""
+"""Paths about this process only; never forwarded."""
 
 
 class ControllerAdministration:
     """Implements Administration on any controller of the group."""
 
     def __init__(self, node: ControlLogNode, operations: Administration, own: Member) -> None:
-        """Prepare.
+        """Create the handler.
 
-        :param operations: the operations as this controller answers them itself.
+        :param operations: handles the requests that this controller answers itself.
         """
         self._node = node
         self._operations = operations
         self._own = own
 
     async def handle(self, call: AdminCall) -> AdminAnswer:
-        """Answer a request that came in over HTTP."""
+        """Answer a request received over HTTP."""
         return await self._handle(call, hops=0)
 
     async def handle_frame(self, request: AdminRequest) -> Frame:
-        """Answer a request that another process passed on."""
+        """Answer a request forwarded by another process."""
         call = AdminCall(request.method, request.path, request.body)
         answer = await self._handle(call, request.hops)
         reply = AdminReply(
@@ -55,27 +55,27 @@
         if is_own or call.path.startswith(LOCAL_PATHS):
             return await self._operations.handle(call)
         if leader is not None and hops < MAX_HOPS:
-            return await self._pass_on(call, leader, hops)
+            return await self._forward(call, leader, hops)
         if call.method == "GET":
-            # Without a leader the last state that was applied here is the best there is.
+            # Without a leader, reads return the state last applied on this controller.
             return await self._operations.handle(call)
         return error_answer(_no_leader())
 
-    async def _pass_on(self, call: AdminCall, leader: Member, hops: int) -> AdminAnswer:
+    async def _forward(self, call: AdminCall, leader: Member, hops: int) -> AdminAnswer:
         client = RpcClient(Address(leader.host, leader.control_port))
         request = AdminRequest(method=call.method, path=call.path, body=call.body, hops=hops + 1)
         try:
-            answered = await client.call(Frame(admin_request=request), PASS_ON_TIMEOUT_S)
+            reply_result = await client.call(Frame(admin_request=request), FORWARD_TIMEOUT_S)
         finally:
             client.close()
-        return _answer_of(answered)
+        return _to_answer(reply_result)
 
 
-def _answer_of(answered: Result[Frame, WireError]) -> AdminAnswer:
-    if answered.is_ok():
-        reply = answered.unwrap().admin_reply
+def _to_answer(reply_result: Result[Frame, WireError]) -> AdminAnswer:
+    if reply_result.is_ok():
+        reply = reply_result.unwrap().admin_reply
         return AdminAnswer(reply.status, reply.body, reply.retry_after_s)
-    if isinstance(answered.unwrap_err(), ConnectFailed | RefusedByPeer):
+    if isinstance(reply_result.unwrap_err(), ConnectFailed | RefusedByPeer):
         return error_answer(_no_leader())
     return error_answer(
         AdminOutcomeUnknown(
--- a/indigoworks/controller/controller_control_plane.py
+++ b/indigoworks/controller/controller_control_plane.py
@@ -1,4 +1,4 @@
-"""The controller's side of the administration API."""
+"""Administration API operations on a controller's replicated state."""
 
 from collections.abc import Callable, Collection, Sequence
 
@@ -28,7 +28,7 @@
 
 
 class ControllerControlPlane:
-    """Implements ControlPlane on one controller; changes need it to lead."""
+    """Implements ControlPlane; changes are accepted only while this controller leads."""
 
     def __init__(
         self,
@@ -37,9 +37,10 @@
         routers: RouterRegistry,
         leader_tasks: Callable[[], LeaderTasks | None],
     ) -> None:
-        """Prepare.
+        """Create the control plane.
 
-        :param duties: returns the leader's duties, or None while this controller doesn't lead.
+        :param leader_tasks: returns the leader's tasks, or None while this controller doesn't
+            lead.
         """
         self._node = node
         self._state = state
@@ -47,7 +48,7 @@
         self._leader_tasks = leader_tasks
 
     def status(self) -> ControlPlaneStatus:
-        """Return role and progress of this controller."""
+        """Return the role and log progress of this controller."""
         status = self._node.status
         return ControlPlaneStatus(
             member=status.member,
@@ -63,27 +64,27 @@
         return self._state.to_message()
 
     def configuration(self) -> Configuration:
-        """Return the controllers in touch with the leader."""
+        """Return the controllers that are in contact with the leader."""
         return self._node.status.configuration
 
     def known_services(self) -> Collection[str]:
-        """Return the services of the tree in force."""
+        """Return the names of the services in the tree in force."""
         content = self._state.to_message().settings_tree
         return SettingsTree.model_validate_json(content).services if content else ()
 
     def place_of(self, key: bytes) -> Result[int, AdminError]:
-        """Return the hash of the key."""
+        """Return the position (hash) of the key in the key space."""
         return Ok(key_hash(key))
 
     async def change_settings(self, change: SettingsChange) -> Result[SettingsAccepted, AdminError]:
-        """Put a checked tree in force."""
-        duties = self._leader_tasks()
-        if duties is None:
+        """Put a validated settings tree in force."""
+        leader_tasks = self._leader_tasks()
+        if leader_tasks is None:
             return Err(_not_leader())
-        return await duties.settings.change(change)
+        return await leader_tasks.settings.change(change)
 
     async def change_progress(self, change_id: str) -> Result[ChangeProgress, AdminError]:
-        """Return how far an accepted change has come."""
+        """Return how many routers have applied an accepted change."""
         version = self._state.version_of_change(change_id)
         if version is None:
             return Err(
@@ -92,15 +93,16 @@
                     "Send the change again under the same id.",
                 )
             )
-        # A router that has not polled for longer than its view lease has stopped forwarding.
+        # A router whose last poll is older than its view lease has stopped forwarding.
         serving = [each for each in await self.routers() if each.since_poll_s < VIEW_LEASE_LAPSE_S]
         in_force = sum(1 for each in serving if each.settings_version >= version)
-        # A router may follow a controller that this one cannot reach. Only time tells for all.
+        # A router may poll a controller that this one cannot reach, so only the time since the
+        # change proves that every router has applied it or stopped forwarding.
         is_everywhere = self._state.settings_age_s() >= VIEW_LEASE_LAPSE_S
         return Ok(ChangeProgress(change_id, version, len(serving), in_force, is_everywhere))
 
     async def routers(self) -> Sequence[RouterPresence]:
-        """Return the routers that asked for a view lately."""
+        """Return the routers that polled for a view recently."""
         return self._routers.presences()
 
     async def drain_server(self, name: str) -> Result[None, AdminError]:
@@ -109,7 +111,7 @@
         if server is None:
             return Err(
                 UnknownServer(
-                    f"No server is called {name}.", "List the servers with `indigoworks status`."
+                    f"No server is named {name}.", "List the servers with `indigoworks status`."
                 )
             )
         change = SetServerState(
@@ -121,7 +123,7 @@
 
 def _not_leader() -> NotLeader:
     return NotLeader(
-        "This controller does not lead.",
-        "Send the request again after the time given; any node passes it to the leader.",
+        "This controller is not the leader.",
+        "Send the request again after the time given; any node forwards it to the leader.",
         LEADER_RETRY_AFTER_S,
     )
--- a/indigoworks/controller/controller_metrics.py
+++ b/indigoworks/controller/controller_metrics.py
@@ -6,15 +6,15 @@
 
 
 class ControllerMetrics:
-    """Gauges that read the controller when they are collected.
+    """Gauges that read the controller at each collection.
 
-    :ivar registry: what `/metrics` shows.
+    :ivar registry: metrics exported at `/metrics`.
     """
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
 
-    def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
         """Add the gauge `indigoworks_controller_NAME`, read by `read` at each collection."""
-        gauge = Gauge(f"indigoworks_controller_{name}", text, registry=self.registry)
+        gauge = Gauge(f"indigoworks_controller_{name}", description, registry=self.registry)
         gauge.set_function(read)
--- a/indigoworks/controller/controller_ports.py
+++ b/indigoworks/controller/controller_ports.py
@@ -1,4 +1,4 @@
-"""What a controller reaches outside its own process group."""
+"""External dependencies of a controller."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class ControllerPorts:
-    """Ports of a controller. The lab replaces each by a simulated one."""
+    """Interfaces to everything outside the control group; the lab simulates each of them."""
 
     clock: Clock
     table: TableStore
--- a/indigoworks/controller/leader_tasks.py
+++ b/indigoworks/controller/leader_tasks.py
@@ -1,4 +1,4 @@
-"""What a controller does while it leads."""
+"""Background tasks of a controller while it leads."""
 
 import asyncio
 
@@ -17,11 +17,11 @@
 from indigoworks.controllog.control_log_node import ControlLogNode
 
 LEADERSHIP_CHECK_INTERVAL_S = 0.05
-"""Time between two looks at whether this controller still leads."""
+"""Interval at which the leader checks that it still leads."""
 
 
 class LeaderTasks:
-    """Leases, ownership, discovery and settings during one term of leadership."""
+    """Runs leases, ownership, discovery, settings and view snapshots during one term."""
 
     def __init__(
         self,
@@ -41,19 +41,19 @@
         self._ownership = OwnershipManager(
             node, state, self.leadership, self._leases, ports, changed, routers
         )
-        self._view_objects = ViewSnapshotWriter(
+        self._view_snapshots = ViewSnapshotWriter(
             state, self.leadership, ports.objects, group_id, ports.clock
         )
         self._discovery = ServerDiscovery(node, state, self.leadership, ports, changed)
 
     async def run(self) -> None:
-        """Work until the leadership ends or the task is cancelled."""
+        """Run all tasks until leadership ends, one of them ends, or this task is cancelled."""
         log_message(message_type="controller:leading", term=self.leadership.term)
         tasks = [
             asyncio.ensure_future(self.settings.run()),
             asyncio.ensure_future(self._ownership.run()),
             asyncio.ensure_future(self._discovery.run()),
-            asyncio.ensure_future(self._view_objects.run()),
+            asyncio.ensure_future(self._view_snapshots.run()),
         ]
         try:
             while self.leadership.is_current() and not any(task.done() for task in tasks):
--- a/indigoworks/controller/lease_manager.py
+++ b/indigoworks/controller/lease_manager.py
@@ -1,4 +1,4 @@
-"""The lease tasks of all servers, kept by the leader."""
+"""The leader's set of lease tasks, one for each server."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,8 +16,8 @@
 )
 
 START_SPACING_S = 0.001
-"""Time between the first renewals of two servers. A new leader has many at once: all of them in
-one turn of the event loop would hold up its own renewals, and every later round again."""
+"""Spacing of the first renewals of servers. A new leader starts many at once: all in one iteration
+of the event loop would delay the renewal of its own lease, and again in every later round."""
 
 LEASED_STATES = (SERVER_STATE_LIVE, SERVER_STATE_LEAVING)
 """States in which a server holds a lease."""
@@ -39,17 +39,17 @@
         self._changed = changed
         self._leases: dict[str, ServerLeaseTask] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._followed_version: int | None = None
+        self._reconciled_version: int | None = None
 
     def reconcile(self) -> None:
-        """Start, stop and wake tasks so that they fit the replicated state."""
-        if self._followed_version == self._state.version:
+        """Start, stop and wake lease tasks to match the replicated state."""
+        if self._reconciled_version == self._state.version:
             return
-        self._followed_version = self._state.version
+        self._reconciled_version = self._state.version
         leased = {s.name: s for s in self._state.servers() if s.state in LEASED_STATES}
         for name in list(self._leases):
-            wanted = leased.get(name)
-            if wanted is None or wanted.incarnation != self._leases[name].server.incarnation:
+            server = leased.get(name)
+            if server is None or server.incarnation != self._leases[name].server.incarnation:
                 self._stop_task(name)
         new = [server for name, server in leased.items() if name not in self._leases]
         for position, server in enumerate(new):
@@ -58,30 +58,30 @@
             lease.wake_if_grants_changed()
 
     def close(self) -> None:
-        """Stop all tasks."""
+        """Stop all lease tasks."""
         for name in list(self._leases):
             self._stop_task(name)
 
     def lost_servers(self) -> Sequence[Server]:
-        """Return the servers that do not answer and whose leases have surely lapsed.
+        """Return the servers that do not respond and whose leases have certainly lapsed.
 
-        They are not renewed again until they are registered anew.
+        Their leases are not renewed again until they register again.
         """
         return [lease.server for lease in self._leases.values() if lease.mark_lost_if_expired()]
 
     def draining_servers(self) -> Sequence[Server]:
-        """Return the servers that asked to be emptied."""
+        """Return the servers that asked to be drained."""
         return [lease.server for lease in self._leases.values() if lease.is_draining]
 
-    def is_answering(self, server: Server) -> bool:
-        """Tell whether this run of the server answered the newest renewal."""
+    def is_responding(self, server: Server) -> bool:
+        """Return whether this incarnation of the server answered the latest renewal."""
         lease = self._leases.get(server.name)
         if lease is None or lease.server.incarnation != server.incarnation:
             return False
-        return lease.is_answering
+        return lease.is_responding
 
     def has_released(self, record: RangeRecord) -> bool:
-        """Tell whether the owner reported that nothing runs on the range any more."""
+        """Return whether the owner reported that it no longer serves the range."""
         lease = self._leases.get(record.owner)
         if lease is None or lease.server.incarnation != record.owner_incarnation:
             return False
--- a/indigoworks/controller/live_routers.py
+++ b/indigoworks/controller/live_routers.py
@@ -1,4 +1,4 @@
-"""The list of live routers."""
+"""Versioned list of live routers."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True)
 class LiveRouters:
-    """Routers that polled lately.
+    """Routers that polled recently.
 
-    :ivar routers: by name.
+    :ivar routers: sorted by name.
     :ivar version: hash of the list, the same on every controller.
     """
 
--- a/indigoworks/controller/ownership_context.py
+++ b/indigoworks/controller/ownership_context.py
@@ -1,4 +1,4 @@
-"""What the ownership rules look at."""
+"""Input of the ownership rules."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -19,15 +19,15 @@
 )
 
 NO_NEXT_OWNER = "*"
-"""Next owner of a range whose owner must release it though no server can take it."""
+"""Next owner of a range that must be released although no server can own it now."""
 
 
 @dataclass(frozen=True)
 class OwnershipContext:
-    """The leader's knowledge at one moment, and helpers that the rules share.
+    """The leader's state at one moment, and helpers shared by the rules.
 
     :ivar tree: the settings tree in force.
-    :ivar loads: busy slots of each range, by service and first place, as routers measured them.
+    :ivar loads: busy slots measured by routers, by service and start of the range.
     """
 
     state: ReplicatedControlState
@@ -38,29 +38,29 @@
     loads: Mapping[tuple[str, int], float] = field(default_factory=dict)
 
     def candidates(self, service: str) -> Sequence[Server]:
-        """Return the servers of `service` that may get ranges: live and answering."""
+        """Return the servers of `service` that may receive ranges: live and responding."""
         return [
             server
             for server in self.state.servers_of(service)
-            if server.state == SERVER_STATE_LIVE and self.leases.is_answering(server)
+            if server.state == SERVER_STATE_LIVE and self.leases.is_responding(server)
         ]
 
     def server_weights(self, service: str) -> ServerWeights:
-        """Return the load of the servers that may get ranges of `service`."""
+        """Return the weights of the servers that may receive ranges of `service`."""
         return self.server_weights_of(self.candidates(service), self.state.ranges(service))
 
     def server_weights_of(
         self, servers: Sequence[Server], records: Sequence[RangeRecord]
     ) -> ServerWeights:
-        """Return the load that `records` put on `servers`."""
+        """Return the weights that `records` put on `servers`."""
         return ServerWeights(servers, records, RangeWeights(records, self.loads))
 
     def is_current(self, record: RangeRecord) -> bool:
-        """Tell whether the record was granted in this generation."""
+        """Return whether the record was granted in this generation."""
         return record.generation == self.leadership.generation
 
     def granted_to(self, record: RangeRecord, server: Server | None) -> RangeRecord:
-        """Return the record under a new grant to `server`, or owned by nobody."""
+        """Return the record as a new grant to `server`, or without an owner."""
         return RangeRecord(
             service=record.service,
             start=record.start,
@@ -78,13 +78,13 @@
         return changed
 
     def live_server(self, name: str) -> Server | None:
-        """Return the server called `name` if it may get ranges."""
+        """Return the server named `name` if it may receive ranges."""
         server = self.state.server(name)
         if server is None or server.state != SERVER_STATE_LIVE:
             return None
-        return server if self.leases.is_answering(server) else None
+        return server if self.leases.is_responding(server) else None
 
 
 def change_command(expected: Sequence[RangeRecord], replacement: Sequence[RangeRecord]) -> Command:
-    """Return the command that replaces ranges of one service, if they still stand as given."""
+    """Return a command that replaces ranges of one service if they are unchanged when applied."""
     return Command(change_ranges=ChangeRanges(expected=expected, replacement=replacement))
--- a/indigoworks/controller/ownership_manager.py
+++ b/indigoworks/controller/ownership_manager.py
@@ -1,4 +1,4 @@
-"""The leader's task that applies the rules of ownership."""
+"""The leader's task that applies the ownership rules."""
 
 import asyncio
 
@@ -27,14 +27,14 @@
 from indigoworks.wire.control_pb2 import Command
 
 ROUND_INTERVAL_S = 0.1
-"""Longest time between two looks at the rules."""
+"""Longest time between two evaluations of the rules."""
 
 
 class OwnershipManager:
-    """Looks at the rules whenever something changed, and proposes what they call for.
+    """Evaluates the rules whenever something changed, and proposes the resulting commands.
 
-    One rule's commands are committed before the next rule looks, so no rule plans on a state
-    that another is about to change.
+    The commands of one rule are committed before the next rule is evaluated, so no rule decides on
+    a state that another one is about to change.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._leases = leases
         self._ports = ports
         self._changed = changed
-        self._trees = TreeCache()
+        self._tree_cache = TreeCache()
         self._rules: tuple[OwnershipRule, ...] = (
             reassign_ranges_of_lost_servers,
             renew_grants_of_earlier_generations,
@@ -68,7 +68,7 @@
         )
 
     async def run(self) -> None:
-        """Apply the rules until cancelled."""
+        """Evaluate the rules until cancelled."""
         while True:
             self._changed.clear()
             if self._leadership.may_grant():
@@ -85,7 +85,7 @@
             return
 
     async def _apply_rules(self) -> None:
-        tree = self._trees.tree(self._state.settings)
+        tree = self._tree_cache.tree(self._state.settings)
         if tree is None:
             return
         context = OwnershipContext(
@@ -97,7 +97,7 @@
             self._routers.range_loads(),
         )
         for rule in self._rules:
-            # Appended in this order, committed together: a lost zone costs one round trip.
+            # Appended in order and committed together: the loss of a zone costs one round trip.
             await asyncio.gather(*(self._propose(command) for command in rule(context)))
 
     async def _propose(self, command: Command) -> None:
--- a/indigoworks/controller/placement/__init__.py
+++ b/indigoworks/controller/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which server owns which range."""
+"""Placement: weights of ranges and servers, splits, and moves between servers."""
--- a/indigoworks/controller/placement/key_space_split.py
+++ b/indigoworks/controller/placement/key_space_split.py
@@ -1,4 +1,4 @@
-"""Cuts of a key space into ranges."""
+"""Splits of a key space into ranges."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 
 
 def split_key_space(service: str, count: int) -> Sequence[RangeRecord]:
-    """Return `count` adjacent ranges of equal width that nobody owns and that cover the space."""
+    """Return `count` adjacent ranges of equal width, without owners, that cover the key space."""
     size = KEY_SPACE_MAX + 1
     starts = [size * position // count for position in range(count)]
     ends = [start - 1 for start in starts[1:]] + [KEY_SPACE_MAX]
@@ -18,9 +18,9 @@
 
 
 def split_out_position(record: RangeRecord, position: int) -> Sequence[RangeRecord]:
-    """Return the parts of `record` with a range of its own for `place`.
+    """Return the parts of `record`, one of them a range for `position` alone.
 
-    Owner and token stay, so requests sent under the uncut range stay valid.
+    The parts keep owner and token, so requests sent under the whole range stay valid.
     """
     bounds = [(record.start, position - 1), (position, position), (position + 1, record.end)]
     return [_part(record, start, end) for start, end in bounds if start <= end]
--- a/indigoworks/controller/placement/range_weights.py
+++ b/indigoworks/controller/placement/range_weights.py
@@ -1,4 +1,4 @@
-"""How much of a service's load each of its ranges is."""
+"""Weight of each range: its estimated share of the load of its service."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -10,22 +10,22 @@
 KEY_SPACE_WIDTH = KEY_SPACE_MAX + 1
 
 WIDTH_SHARE = 0.2
-"""Part of a weight that comes from the width: load that is not there yet is spread as keys are, and
-a range without requests is not free."""
+"""Part of a weight that comes from the width of the range: future load is expected to follow the
+keys, and a range without requests still has a cost."""
 
 MIN_TOTAL_BUSY_SLOTS = 0.5
-"""Load of a service below which it says nothing, and the widths count alone."""
+"""Load of a service below which weights ignore load and follow the widths alone."""
 
 
 class RangeWeights:
-    """Weights of the ranges of one service; they add up to 1."""
+    """Weights of the ranges of one service; their sum is 1."""
 
     def __init__(
         self, records: Sequence[RangeRecord], loads: Mapping[tuple[str, int], float]
     ) -> None:
-        """Weigh the ranges.
+        """Compute the total load.
 
-        :param loads: busy slots by service and first place; ranges without any may be missing.
+        :param loads: busy slots by service and start of the range; missing ranges count as 0.
         """
         self._loads = loads
         self._records = records
@@ -41,7 +41,7 @@
         return WIDTH_SHARE * by_width + (1.0 - WIDTH_SHARE) * by_load
 
     def busy_ratio(self, servers: Sequence[Server]) -> float:
-        """Return the share of its slots that the busiest of `servers` uses; 0 without servers."""
+        """Return the highest share of busy slots among `servers`; 0 without servers."""
         busy: defaultdict[str, float] = defaultdict(float)
         for record in self._records:
             busy[record.next_owner or record.owner] += self._load(record)
--- a/indigoworks/controller/placement/rebalance_inputs.py
+++ b/indigoworks/controller/placement/rebalance_inputs.py
@@ -1,4 +1,4 @@
-"""What a decision to move nothing was based on."""
+"""Inputs of a decision to move no range."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True)
 class RebalanceInputs:
-    """The facts that one look at a service's balance uses.
+    """Inputs of one balance check of a service.
 
-    Two looks are the same when they hold the very same objects: the state keeps its lists and
-    messages until they change, so nothing need be compared in depth.
+    Inputs are compared by object identity: the replicated state keeps its lists and messages until
+    they change, so a deep comparison is not needed.
 
     :ivar records: ranges of the service.
-    :ivar candidates: servers that may get ranges.
+    :ivar candidates: servers that may receive ranges.
     :ivar threshold: see `next_move`.
     """
 
@@ -23,10 +23,10 @@
     threshold: float
 
     def is_same_as(self, other: "RebalanceInputs") -> bool:
-        """Tell whether the other look comes to the same end."""
+        """Return whether a check of the other inputs has the same result."""
         if self.threshold != other.threshold:
             return False
         if self.records is not other.records or len(self.candidates) != len(other.candidates):
             return False
         pairs = zip(self.candidates, other.candidates, strict=True)
-        return all(mine is theirs for mine, theirs in pairs)
+        return all(own is others for own, others in pairs)
--- a/indigoworks/controller/placement/server_weights.py
+++ b/indigoworks/controller/placement/server_weights.py
@@ -1,4 +1,4 @@
-"""How much of a service's load each of its servers holds."""
+"""Weight of each server: the weight of the ranges of one service that it owns."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -10,9 +10,9 @@
 
 
 class ServerWeights:
-    """Weight per slot of the servers that may own ranges of one service.
+    """Weight and density (weight per slot) of the servers that may own ranges of one service.
 
-    Ranges on their way to a server count for it already.
+    A range that is being handed over counts for its next owner.
     """
 
     def __init__(
@@ -21,11 +21,11 @@
         records: Iterable[RangeRecord],
         weight_of: Callable[[RangeRecord], float] = range_width,
     ) -> None:
-        """Count the ranges.
+        """Sum up the weights.
 
         :param servers: servers that may own ranges.
         :param records: ranges of the service.
-        :param weight_of: weighs a range; its width unless told otherwise.
+        :param weight_of: returns the weight of a range; its width by default.
         """
         self._servers = {server.name: server for server in servers}
         self._weight_of = weight_of
@@ -35,16 +35,16 @@
 
     @property
     def servers(self) -> Sequence[Server]:
-        """The servers that may own ranges, by name."""
+        """The servers that may own ranges, sorted by name."""
         return [self._servers[name] for name in sorted(self._servers)]
 
     def add(self, server_name: str, record: RangeRecord) -> None:
-        """Count `record` for a server; a server that may own nothing is passed over."""
+        """Add the weight of `record` to a server; servers that may not own ranges are ignored."""
         if server_name in self._weight:
             self._weight[server_name] += self._weight_of(record)
 
     def remove(self, server_name: str, record: RangeRecord) -> None:
-        """Count `record` no longer for a server."""
+        """Subtract the weight of `record` from a server."""
         if server_name in self._weight:
             self._weight[server_name] -= self._weight_of(record)
 
@@ -54,19 +54,19 @@
         return self._weight[server_name] / slots
 
     def mean_density(self) -> float:
-        """Return the weight per slot over all servers; 0 where there are none."""
+        """Return the weight per slot over all servers; 0 without servers."""
         slots = sum(max(MIN_SLOTS, server.slots) for server in self._servers.values())
         return sum(self._weight.values()) / slots if slots else 0.0
 
     def lightest(self) -> Server | None:
-        """Return the server with the least weight per slot, or None where there is none."""
+        """Return the server with the lowest density, or None without servers."""
         if not self._servers:
             return None
         name = min(self._servers, key=lambda each: (self.density(each), each))
         return self._servers[name]
 
     def heaviest(self) -> Server | None:
-        """Return the server with the most weight per slot, or None where there is none."""
+        """Return the server with the highest density, or None without servers."""
         if not self._servers:
             return None
         name = max(self._servers, key=lambda each: (self.density(each), each))
--- a/indigoworks/controller/rebalancer.py
+++ b/indigoworks/controller/rebalancer.py
@@ -1,4 +1,4 @@
-"""Moves ranges between live servers when their load is uneven."""
+"""Ownership rule that moves ranges between live servers when their load is uneven."""
 
 from collections.abc import Sequence
 
@@ -12,32 +12,31 @@
 from indigoworks.settings.placement_settings import PlacementSettings
 from indigoworks.wire.control_pb2 import Command, RangeRecord, Server
 
-SETTLE_S = {"availability": 1.0, "stability": 10.0}
-"""Time for which the load must stay uneven before ranges move, by the service's preference."""
+MIN_IMBALANCE_S = {"availability": 1.0, "stability": 10.0}
+"""Time for which the load must stay uneven before ranges move, by `placement.prefer`."""
 
+LOW_BUSY_RATIO = 0.65
+"""Share of busy slots of the busiest server below which load counts as low: far from saturation no
+request waits for a slot, and measured imbalance is mostly random variation."""
 
-CALM_BUSY_RATIO = 0.65
-"""Share of its slots that the busiest server may use before an uneven load is worth the churn: far
-from saturation nobody waits for it, and what looks uneven is mostly chance."""
-
-CALM_THRESHOLD = 2.0
-"""Least threshold while no server is that busy."""
+LOW_LOAD_THRESHOLD = 2.0
+"""Minimum imbalance threshold while load is low."""
 
 MAX_MOVES_AT_ONCE = 8
-"""Ranges of one service that may be on their way at the same time."""
+"""Moves of one service that may be in progress at the same time."""
 
 
 class Rebalancer:
-    """Starts moves within the service's budget, a few at a time."""
+    """Starts moves within the move budget of each service."""
 
     def __init__(self) -> None:
         self._budgets: dict[str, MoveBudget] = {}
         self._rates: dict[str, float] = {}
         self._uneven_since_s: dict[str, float] = {}
-        self._even_looks: dict[str, RebalanceInputs] = {}
+        self._balanced_inputs: dict[str, RebalanceInputs] = {}
 
     def __call__(self, context: OwnershipContext) -> Sequence[Command]:
-        """Return the commands that start moves; a rule of ownership."""
+        """Return the commands that start moves."""
         resolver = SettingsResolver(context.tree)
         commands: list[Command] = []
         for service in sorted(context.tree.services):
@@ -53,19 +52,19 @@
         candidates = tuple(context.candidates(service))
         weights = RangeWeights(records, context.loads)
         threshold = threshold_of(placement, weights, candidates)
-        look = RebalanceInputs(records, candidates, threshold)
-        even = self._even_looks.get(service)
-        # Measured loads change all the time, so an earlier look says nothing about them.
-        if even is not None and not weights.is_by_load and look.is_same_as(even):
+        inputs = RebalanceInputs(records, candidates, threshold)
+        balanced = self._balanced_inputs.get(service)
+        # Measured loads change constantly, so an earlier result holds only for weights by width.
+        if balanced is not None and not weights.is_by_load and inputs.is_same_as(balanced):
             return []
         if any(record.next_owner or not record.owner for record in records):
             return []
-        board = ServerWeights(candidates, records, weights)
-        if next_move(board, records, threshold) is None:
-            self._even_looks[service] = look
+        server_weights = ServerWeights(candidates, records, weights)
+        if next_move(server_weights, records, threshold) is None:
+            self._balanced_inputs[service] = inputs
             self._uneven_since_s.pop(service, None)
             return []
-        if not self._has_settled(context, service, placement):
+        if not self._has_lasted(context, service, placement):
             return []
         return self._start_moves(context, service, placement, list(records), weights, threshold)
 
@@ -81,23 +80,23 @@
         budget = self._budget(context, service, placement)
         commands: list[Command] = []
         for _ in range(MAX_MOVES_AT_ONCE):
-            board = ServerWeights(context.candidates(service), records, weights)
-            move = next_move(board, records, threshold)
+            server_weights = ServerWeights(context.candidates(service), records, weights)
+            move = next_move(server_weights, records, threshold)
             if move is None or not budget.try_consume(context.clock.now()):
                 break
             record, target = move
             moving = context.with_next_owner(record, target)
             commands.append(change_command([record], [moving]))
-            # The next move is chosen as if this one had ended.
+            # The next move is chosen as if this one were complete.
             records[records.index(record)] = moving
         return commands
 
-    def _has_settled(
+    def _has_lasted(
         self, context: OwnershipContext, service: str, placement: PlacementSettings
     ) -> bool:
         now_s = context.clock.now()
         since_s = self._uneven_since_s.setdefault(service, now_s)
-        return now_s - since_s >= SETTLE_S[placement.prefer]
+        return now_s - since_s >= MIN_IMBALANCE_S[placement.prefer]
 
     def _budget(
         self, context: OwnershipContext, service: str, placement: PlacementSettings
@@ -112,8 +111,8 @@
 def threshold_of(
     placement: PlacementSettings, weights: RangeWeights, candidates: Sequence[Server]
 ) -> float:
-    """Return the ratio of the heaviest server to the mean above which ranges move now."""
+    """Return the ratio of the heaviest server to the mean density above which ranges move."""
     threshold = placement.imbalance_threshold
-    if weights.is_by_load and weights.busy_ratio(candidates) < CALM_BUSY_RATIO:
-        return max(threshold, CALM_THRESHOLD)
+    if weights.is_by_load and weights.busy_ratio(candidates) < LOW_BUSY_RATIO:
+        return max(threshold, LOW_LOAD_THRESHOLD)
     return threshold
--- a/indigoworks/controller/retry_timing.py
+++ b/indigoworks/controller/retry_timing.py
@@ -1,4 +1,4 @@
-"""When operators may send a request again."""
+"""Retry times returned to callers of the administration API."""
 
 LEADER_RETRY_AFTER_S = 2.0
-"""Time after which a request may be repeated that found no leader, or whose leader has changed."""
+"""Retry time for a request that found no leader or whose leader changed."""
--- a/indigoworks/controller/router_registry.py
+++ b/indigoworks/controller/router_registry.py
@@ -1,4 +1,4 @@
-"""Which routers follow the views of this group."""
+"""Registry of the routers that poll views from this control group."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -13,21 +13,24 @@
 from indigoworks.wire.control_pb2 import Member, RangeLoad, RouterReport, ViewRequest
 
 LIVE_ROUTER_S = 1.0
-"""A router that polled within this time may be chosen as a dispatcher."""
+"""A router that polled within this time is live and may be chosen as a dispatcher."""
 
 LIST_VALID_S = 0.1
-"""Time for which a list of live routers is used again: each of many polls a second needs it."""
+"""Time for which the list of live routers is cached: every poll needs it, many times a second."""
 
 LOAD_VALID_S = 3.0
-"""Time for which the loads count that a router reported with its last poll."""
+"""Time for which the loads reported with a router's last poll are used."""
 
-FORGET_ROUTER_S = 10.0
-"""A router that has not polled for this time is forgotten; its view lease has lapsed long ago."""
+ROUTER_RETENTION_S = 10.0
+"""A router that has not polled for this time is removed; its view lease lapsed long before."""
 
 
 @dataclass(frozen=True)
-class _Sighting:
-    """The newest poll of a router, and when it was on the own clock."""
+class _RouterPoll:
+    """The latest poll of a router.
+
+    :ivar polled_at_s: reading of this controller's clock.
+    """
 
     member: Member
     settings_version: int
@@ -37,22 +40,22 @@
 
 
 class RouterRegistry:
-    """Routers that poll this controller, and those that other controllers report."""
+    """Routers that poll this controller, and routers that other controllers report."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._local: dict[str, _Sighting] = {}
-        self._reported: dict[str, _Sighting] = {}
+        self._local: dict[str, _RouterPoll] = {}
+        self._reported: dict[str, _RouterPoll] = {}
         self._live_list: LiveRouters | None = None
         self._live_list_at_s = clock.now()
 
     def record_poll(self, request: ViewRequest) -> None:
-        """Record that a router asked this controller for its view."""
+        """Record a view poll if a router sent it."""
         if request.is_router:
             earlier = self._local.get(request.requester.incarnation)
-            # Loads come with some polls only; those of the last report stand until the next.
+            # Only some polls carry loads; the last reported loads stay in use until the next ones.
             loads = tuple(request.loads) or (earlier.loads if earlier is not None else ())
-            self._local[request.requester.incarnation] = _Sighting(
+            self._local[request.requester.incarnation] = _RouterPoll(
                 request.requester,
                 request.settings_version,
                 request.known_version,
@@ -61,37 +64,37 @@
             )
 
     def record_report(self, report: RouterReport) -> None:
-        """Record the routers that another controller reports."""
+        """Record the routers reported by another controller."""
         now_s = self._clock.now()
         for each in report.routers:
-            sighting = _Sighting(
+            poll = _RouterPoll(
                 each.router,
                 each.settings_version,
                 each.view_version,
                 now_s - each.age_s,
                 tuple(each.loads),
             )
-            _keep_newest(self._reported, sighting)
+            _keep_latest(self._reported, poll)
 
     def report(self, reporter: Member) -> RouterReport:
-        """Return the routers that poll this controller, for the others."""
+        """Return the report of local routers for the other controllers."""
         now_s = self._clock.now()
-        self._forget_old()
+        self._remove_expired()
         report = RouterReport(reporter=reporter)
-        for sighting in self._local.values():
+        for poll in self._local.values():
             report.routers.append(
                 control_pb2.RouterPresence(
-                    router=sighting.member,
-                    settings_version=sighting.settings_version,
-                    view_version=sighting.view_version,
-                    age_s=now_s - sighting.polled_at_s,
-                    loads=sighting.loads,
+                    router=poll.member,
+                    settings_version=poll.settings_version,
+                    view_version=poll.view_version,
+                    age_s=now_s - poll.polled_at_s,
+                    loads=poll.loads,
                 )
             )
         return report
 
     def presences(self) -> Sequence[RouterPresence]:
-        """Return all routers known, by name."""
+        """Return all known routers, sorted by name."""
         now_s = self._clock.now()
         return [
             RouterPresence(
@@ -100,26 +103,26 @@
                 each.view_version,
                 now_s - each.polled_at_s,
             )
-            for each in self._newest_sightings()
+            for each in self._latest_polls()
         ]
 
     def live_routers(self) -> Sequence[Member]:
-        """Return the routers that polled lately, by name."""
+        """Return the routers that polled recently, sorted by name."""
         newest_s = self._clock.now() - LIVE_ROUTER_S
-        return [each.member for each in self._newest_sightings() if each.polled_at_s >= newest_s]
+        return [each.member for each in self._latest_polls() if each.polled_at_s >= newest_s]
 
     def range_loads(self) -> Mapping[tuple[str, int], float]:
-        """Return the busy slots of each range, by service and first place, over all routers."""
+        """Return the busy slots of each range over all routers, by service and start."""
         loads: defaultdict[tuple[str, int], float] = defaultdict(float)
         newest_s = self._clock.now() - LOAD_VALID_S
-        for sighting in self._newest_sightings():
-            if sighting.polled_at_s >= newest_s:
-                for each in sighting.loads:
+        for poll in self._latest_polls():
+            if poll.polled_at_s >= newest_s:
+                for each in poll.loads:
                     loads[(each.service, each.start)] += each.busy_slots
         return loads
 
     def live_list(self) -> LiveRouters:
-        """Return the live routers with the version of their list; at most LIST_VALID_S old."""
+        """Return the versioned list of live routers; it is at most LIST_VALID_S old."""
         now_s = self._clock.now()
         if self._live_list is None or now_s - self._live_list_at_s >= LIST_VALID_S:
             routers = self.live_routers()
@@ -127,28 +130,28 @@
             self._live_list_at_s = now_s
         return self._live_list
 
-    def _newest_sightings(self) -> Sequence[_Sighting]:
-        self._forget_old()
+    def _latest_polls(self) -> Sequence[_RouterPoll]:
+        self._remove_expired()
         merged = dict(self._reported)
-        for sighting in self._local.values():
-            _keep_newest(merged, sighting)
+        for poll in self._local.values():
+            _keep_latest(merged, poll)
         return sorted(merged.values(), key=lambda each: (each.member.name, each.polled_at_s))
 
-    def _forget_old(self) -> None:
-        oldest_s = self._clock.now() - FORGET_ROUTER_S
-        for sightings in (self._local, self._reported):
-            for incarnation, sighting in list(sightings.items()):
-                if sighting.polled_at_s < oldest_s:
-                    del sightings[incarnation]
+    def _remove_expired(self) -> None:
+        oldest_s = self._clock.now() - ROUTER_RETENTION_S
+        for polls in (self._local, self._reported):
+            for incarnation, poll in list(polls.items()):
+                if poll.polled_at_s < oldest_s:
+                    del polls[incarnation]
 
 
 def routers_version(routers: Sequence[Member]) -> int:
-    """Return a hash of the list, the same on every controller; never 0."""
+    """Return a nonzero hash of the list; the same on every controller."""
     content = "\n".join(member.incarnation for member in routers)
     return xxhash.xxh64_intdigest(content.encode("utf-8")) | 1
 
 
-def _keep_newest(sightings: dict[str, _Sighting], sighting: _Sighting) -> None:
-    known = sightings.get(sighting.member.incarnation)
-    if known is None or known.polled_at_s < sighting.polled_at_s:
-        sightings[sighting.member.incarnation] = sighting
+def _keep_latest(polls: dict[str, _RouterPoll], poll: _RouterPoll) -> None:
+    known = polls.get(poll.member.incarnation)
+    if known is None or known.polled_at_s < poll.polled_at_s:
+        polls[poll.member.incarnation] = poll
--- a/indigoworks/controller/router_reporter.py
+++ b/indigoworks/controller/router_reporter.py
@@ -1,4 +1,4 @@
-"""Tells the other controllers which routers poll this one."""
+"""Reports the routers that poll this controller to the other controllers."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 from indigoworks.wire.rpc_client import RpcClient
 
 REPORT_INTERVAL_S = 0.5
-"""Time between two reports to one controller."""
+"""Interval between reports to one controller."""
 
 REPORT_TIMEOUT_S = 0.4
-"""Time after which a report without an answer is given up; the next one repeats it."""
+"""Timeout of a report; the next report carries the same routers again."""
 
 
 class RouterReporter:
-    """Runs one task for each other controller of the group."""
+    """Runs one reporting task for each other controller of the group."""
 
     def __init__(
         self, member: Member, node: ControlLogNode, routers: RouterRegistry, clock: Clock
@@ -29,16 +29,16 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Follow the configuration and report until cancelled."""
+        """Report to all controllers of the current configuration until cancelled."""
         try:
             while True:
-                self._follow_configuration()
+                self._update_tasks()
                 await self._clock.sleep(REPORT_INTERVAL_S)
         finally:
             for task in self._tasks.values():
                 task.cancel()
 
-    def _follow_configuration(self) -> None:
+    def _update_tasks(self) -> None:
         configuration = self._node.status.configuration
         others = {
             m.incarnation: m
--- a/indigoworks/controller/server_discovery.py
+++ b/indigoworks/controller/server_discovery.py
@@ -1,4 +1,4 @@
-"""Finds back ends through the platform's machine list."""
+"""Discovery of back ends through the platform's machine list."""
 
 import asyncio
 from collections.abc import Sequence
@@ -24,14 +24,14 @@
 )
 
 SERVER_ROLE = "server"
-"""Role of back ends in the machine list."""
+"""Role that back ends have in the machine list."""
 
 
 class ServerDiscovery:
-    """Registers servers that the machine list names and that answer for themselves.
+    """Registers servers that are in the machine list and confirm their identity.
 
-    The list is a hint: a server is registered by its own answer, and is given up only by its
-    lease. A platform outage therefore delays new servers and touches none that is known.
+    The list is only a hint: a server is registered from its own status response, and lost only
+    when its lease lapses. A platform outage therefore delays new servers but affects no known one.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         self._changed = changed
 
     async def run(self) -> None:
-        """Read the list and act on it until cancelled."""
+        """Poll the machine list until cancelled."""
         while True:
             if self._leadership.may_grant():
-                await self._look_once()
+                await self._poll_once()
             await self._ports.clock.sleep(DISCOVERY_INTERVAL_S)
 
-    async def _look_once(self) -> None:
+    async def _poll_once(self) -> None:
         listed = await self._ports.machines.machines()
         if listed.is_err():
             return
@@ -77,23 +77,25 @@
                 self._changed.set()
 
     def _may_register(self, machine: MachineRecord) -> bool:
-        """Tell whether the machine is unknown, or its earlier run is lost and owns nothing."""
+        """Return whether the machine is unknown, or was lost and owns no ranges."""
         if machine.is_leaving:
             return False
         server = self._state.server(machine.name)
         if server is None:
             return True
-        return server.state not in LEASED_STATES and not self._state.ranges_of_all_runs(server.name)
+        return server.state not in LEASED_STATES and not self._state.ranges_of_all_incarnations(
+            server.name
+        )
 
     async def _register(self, machine: MachineRecord) -> None:
         address = Address(machine.host, machine.port)
-        answer = await self._ports.backends.read_status(address, RENEWAL_TIMEOUT_S)
-        if answer.is_err() or answer.unwrap().is_draining:
+        response = await self._ports.backends.read_status(address, RENEWAL_TIMEOUT_S)
+        if response.is_err() or response.unwrap().is_draining:
             return
-        # The state may have changed while the server answered.
+        # The state may have changed while waiting for the response.
         if not self._may_register(machine):
             return
-        server = _server_record(machine, answer.unwrap())
+        server = _server_record(machine, response.unwrap())
         await self._node.propose(Command(register_server=RegisterServer(server=server)))
         log_message(
             message_type="membership:server_registered",
@@ -106,7 +108,7 @@
 
 
 def _server_record(machine: MachineRecord, status: BackendStatus) -> Server:
-    """Return the server as it described itself, at the address that was asked."""
+    """Return the record of a server from its own status and the address that was queried."""
     return Server(
         name=machine.name,
         incarnation=status.incarnation,
--- a/indigoworks/controller/server_lease_task.py
+++ b/indigoworks/controller/server_lease_task.py
@@ -1,4 +1,4 @@
-"""The leader's task for one run of one back end: renew its lease, set its grants."""
+"""The leader's task that renews the lease and sends the grants of one back end."""
 
 import asyncio
 from collections.abc import Sequence
@@ -27,10 +27,10 @@
 
 
 class ServerLeaseTask:
-    """Keeps one run of one server under its lease while this controller leads.
+    """Renews the lease of one server incarnation while this controller leads.
 
     :ivar released: start and token of each range that the server reported as released.
-    :ivar is_draining: the server asked to be emptied.
+    :ivar is_draining: the server asked to be drained.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         ports: ControllerPorts,
         changed: asyncio.Event,
     ) -> None:
-        """Prepare the task.
+        """Create the task.
 
-        :param changed: set when the server's answer calls for a look at the ownership.
+        :param changed: set when a response may require a change of ownership.
         """
         self.server = server
         self.released: frozenset[ReleasedRange] = frozenset()
@@ -64,24 +64,24 @@
         self._acknowledged_version = 0
 
     async def run(self, delay_s: float) -> None:
-        """Renew until cancelled, for the first time after `delay_s` seconds."""
+        """Renew until cancelled; the first renewal is sent after `delay_s` seconds."""
         await self._ports.clock.sleep(delay_s)
         while True:
             self._wake.clear()
             if self._leadership.may_grant():
                 await self._renew_once()
-            await self._wait_for_turn()
+            await self._wait_for_interval_or_wake()
 
     def wake_if_grants_changed(self) -> None:
-        """Renew now if the grants have changed."""
+        """Renew at once if the grants have changed."""
         if self._sent_ranges != self._wanted_ranges():
             self._wake.set()
 
     def mark_lost_if_expired(self) -> bool:
-        """Tell whether the server is lost: it does not answer and its lease has surely lapsed.
+        """Mark the server as lost if it does not respond and its lease has lapsed; return if it is.
 
-        From then on it is never renewed again. Its ranges are given away by a command that takes
-        time to commit; a renewal that got through meanwhile would leave two owners.
+        A lost server is never renewed again: the command that reassigns its ranges takes time to
+        commit, and a renewal that arrived meanwhile would leave two owners.
         """
         is_silent = self._failures >= FAILED_RENEWALS_BEFORE_LOSS
         if is_silent and self._lease.has_lapsed(self._ports.clock.now()):
@@ -89,12 +89,12 @@
         return self._is_lost
 
     @property
-    def is_answering(self) -> bool:
-        """Tell whether the newest call was answered."""
+    def is_responding(self) -> bool:
+        """Return whether the latest call was answered."""
         return self._lease.has_reading and self._failures == 0 and not self._is_lost
 
-    async def _wait_for_turn(self) -> None:
-        # A timeout costs a tenth of a renewal less than two tasks of which one wins.
+    async def _wait_for_interval_or_wake(self) -> None:
+        # asyncio.timeout costs a tenth of a renewal less than racing two tasks.
         try:
             async with asyncio.timeout(RENEWAL_INTERVAL_S):
                 await self._wake.wait()
@@ -106,17 +106,18 @@
             return
         if self._lease.has_reading and not self._must_lapse():
             renewal = self._next_renewal()
-            answer = await self._ports.backends.renew(self._address, renewal, RENEWAL_TIMEOUT_S)
+            response = await self._ports.backends.renew(self._address, renewal, RENEWAL_TIMEOUT_S)
         else:
-            answer = await self._ports.backends.read_status(self._address, RENEWAL_TIMEOUT_S)
-            if answer.is_ok() and not self._must_lapse():
+            response = await self._ports.backends.read_status(self._address, RENEWAL_TIMEOUT_S)
+            if response.is_ok() and not self._must_lapse():
                 self._wake.set()
-        self._take(answer)
+        self._apply_response(response)
 
     def _must_lapse(self) -> bool:
-        """Tell whether the server is to get no new work and its ranges cannot be taken from it.
+        """Return whether a leaving server's lease must lapse because no command can be committed.
 
-        Without the log nothing is handed over, and a renewed server would go on taking requests.
+        Without commits its ranges cannot be handed over, and a renewed server would go on
+        accepting requests.
         """
         server = self._state.server(self.server.name) or self.server
         is_leaving = self.is_draining or server.state == SERVER_STATE_LEAVING
@@ -127,8 +128,8 @@
         is_unchanged = wanted == self._sent_ranges
         is_acknowledged = self._acknowledged_version == self._sent_version
         if not is_unchanged:
-            # Every earlier leader sent only indexes that it had applied, and this leader has
-            # applied its own no-op after all of those: its first version is newer than theirs.
+            # Earlier leaders sent only indexes that they had applied, and this leader has since
+            # applied its own no-op entry: its first version is newer than all of theirs.
             self._sent_version = self._state.applied_index
             self._sent_ranges = wanted
         may_omit = is_unchanged and is_acknowledged
@@ -141,39 +142,41 @@
         )
 
     def _wanted_ranges(self) -> tuple[GrantedRange, ...]:
-        owned = self._state.ranges_of_all_runs(self.server.name)
-        # The state keeps the list until one of its ranges changes.
+        owned = self._state.ranges_of_all_incarnations(self.server.name)
+        # The state returns the same list object until one of its ranges changes.
         if owned is not self._owned:
             self._owned = owned
-            self._wanted = tuple(self._granted(record) for record in self._current_records())
+            self._wanted = tuple(
+                self._to_granted_range(record) for record in self._current_records()
+            )
         return self._wanted
 
     def _current_records(self) -> Sequence[RangeRecord]:
         generation = self._leadership.generation
         owned = self._state.ranges_of(self.server)
-        # A record of an earlier generation may have been given to another server by log entries
-        # that were lost with that generation. It is granted anew, under a new token, or not.
+        # A range of an earlier generation may have been granted to another server by log entries
+        # that were lost with that generation. It is sent only after it is granted again.
         return [record for record in owned if record.generation == generation]
 
-    def _granted(self, record: RangeRecord) -> GrantedRange:
+    def _to_granted_range(self, record: RangeRecord) -> GrantedRange:
         return GrantedRange(record.start, record.end, record.token, bool(record.next_owner))
 
-    def _take(self, answer: Result[BackendStatus, BackendError]) -> None:
-        if answer.is_err():
-            self._record_failure(answer.unwrap_err())
+    def _apply_response(self, response: Result[BackendStatus, BackendError]) -> None:
+        if response.is_err():
+            self._record_failure(response.unwrap_err())
             return
-        status = answer.unwrap()
+        status = response.unwrap()
         if status.incarnation != self.server.incarnation:
             self._failures += 1
             self._changed.set()
             return
         if self._failures:
-            # The renewal that was answered said an end from a reading before the failures: the
-            # lease would lapse before the next turn.
+            # The end in the answered renewal comes from a clock reading before the failures: the
+            # lease would lapse before the next interval.
             self._wake.set()
         self._failures = 0
         self._lease.record_reading(status.clock_s, self._ports.clock.now())
-        self._take_grants(status)
+        self._update_grants(status)
 
     def _record_failure(self, error: BackendError) -> None:
         self._failures += 1
@@ -186,12 +189,12 @@
                 kind=error.kind,
                 message=error.message,
             )
-        # The server may hold other grants than this leader believes; the next renewal that gets
-        # through must carry the whole list.
+        # The server's grants are unknown after a failure; the next renewal that arrives must carry
+        # the whole list.
         self._acknowledged_version = 0
         self._changed.set()
 
-    def _take_grants(self, status: BackendStatus) -> None:
+    def _update_grants(self, status: BackendStatus) -> None:
         if status.generation == self._leadership.generation:
             self._acknowledged_version = status.grants_version
         released = frozenset((granted.start, granted.token) for granted in status.released)
--- a/indigoworks/controller/settings_record.py
+++ b/indigoworks/controller/settings_record.py
@@ -1,4 +1,4 @@
-"""The row of the table service that holds a group's settings tree."""
+"""Row of the platform's table service that stores a group's settings tree."""
 
 import json
 from dataclasses import dataclass
@@ -6,19 +6,19 @@
 from indigoworks.wire.control_pb2 import AcceptedChange, ReplaceSettings
 
 MAX_RECENT_CHANGES = 256
-"""Accepted changes remembered, so that a repeat of one is known for what it is."""
+"""Number of accepted change ids that are kept to recognize repeated changes."""
 
 
 @dataclass(frozen=True)
 class SettingsRecord:
-    """A version of the tree as it stands in the table service.
+    """A version of the settings tree as stored in the table service.
 
-    The version of the tree is the version of its row, so it grows by one with each change and
-    only a compare-and-set can make it grow.
+    The tree's version is the version of its row: each change increments it by one, through a
+    compare-and-set.
 
     :ivar tree: canonical JSON.
-    :ivar earlier_change_ids: ids of the changes that made the versions before this one, newest
-        last, at most MAX_RECENT_CHANGES.
+    :ivar earlier_change_ids: ids of the changes that created the versions before this one, newest
+        last; at most MAX_RECENT_CHANGES.
     """
 
     version: int
@@ -27,18 +27,18 @@
     earlier_change_ids: tuple[str, ...] = ()
 
     def successor(self, change_id: str, tree: bytes) -> "SettingsRecord":
-        """Return the record that a change of this one makes."""
+        """Return the record that a change to this one creates."""
         earlier = self.earlier_change_ids
         if self.version > 0:
             earlier = (*earlier, self.change_id)[-MAX_RECENT_CHANGES:]
         return SettingsRecord(self.version + 1, change_id, tree, earlier)
 
     def has_change(self, change_id: str) -> bool:
-        """Tell whether the change made this version or one of those before it."""
+        """Return whether the change created this version or a recorded earlier one."""
         return self.version > 0 and change_id in (*self.earlier_change_ids, self.change_id)
 
     def to_command(self, generation: int) -> ReplaceSettings:
-        """Return the command that puts the record in force."""
+        """Return the log command that puts the record in force."""
         return ReplaceSettings(
             version=self.version,
             change_id=self.change_id,
@@ -48,7 +48,7 @@
         )
 
     def to_row_value(self) -> bytes:
-        """Return the value of the row."""
+        """Serialize the record as the value of its row."""
         content = {
             "change_id": self.change_id,
             "earlier_change_ids": self.earlier_change_ids,
@@ -58,7 +58,7 @@
 
     @classmethod
     def from_row(cls, value: bytes, version: int) -> "SettingsRecord":
-        """Read the value of the row at `version`."""
+        """Parse the value of the row at `version`."""
         content = json.loads(value)
         return cls(
             version,
@@ -85,5 +85,5 @@
 
 
 def settings_row_key(group_id: int) -> str:
-    """Return the key of the row."""
+    """Return the key of a group's settings row."""
     return f"groups/{group_id}/settings"
--- a/indigoworks/controller/settings_service.py
+++ b/indigoworks/controller/settings_service.py
@@ -1,4 +1,4 @@
-"""Changes of the settings tree, made by the leader."""
+"""The leader's service that changes the settings tree."""
 
 import asyncio
 
@@ -30,20 +30,20 @@
 from indigoworks.wire.control_pb2 import Command
 
 ADOPTION_INTERVAL_S = 5.0
-"""Time between two looks at the table for versions that an earlier leader wrote."""
+"""Interval between reads of the table for versions that an earlier leader wrote."""
 
 ADOPTION_RETRY_S = 0.5
-"""Time before another look when the table did not answer and the settings are unconfirmed."""
+"""Time before another read when the table did not respond and the settings are unconfirmed."""
 
 STORE_RETRY_AFTER_S = 2.0
-"""When an operator may try again after a refusal of the table service that names no time."""
+"""Retry time for an operator when the table service refused a write without naming one."""
 
 
 class SettingsService:
-    """Accepts changes in the table service first, then puts them in force through the log.
+    """Writes changes to the table service first, then puts them in force through the log.
 
-    The table row is the authority: a change that is in the table and not yet in the log, since a
-    leader was lost in between, is adopted by the next leader.
+    The table row is authoritative: if a leader is lost after writing a change to the table and
+    before committing it to the log, the next leader adopts it from the table.
     """
 
     def __init__(
@@ -59,26 +59,26 @@
         self._leadership = leadership
         self._table = table
         self._clock = clock
-        self._trees = TreeCache()
+        self._tree_cache = TreeCache()
         self._lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Adopt versions that stand in the table and not in the log, until cancelled."""
+        """Adopt versions that are in the table but not in the log, until cancelled."""
         while True:
             is_adopted = await self._adopt_from_table()
-            is_settled = is_adopted or self.is_confirmed()
-            await self._clock.sleep(ADOPTION_INTERVAL_S if is_settled else ADOPTION_RETRY_S)
+            is_up_to_date = is_adopted or self.is_confirmed()
+            await self._clock.sleep(ADOPTION_INTERVAL_S if is_up_to_date else ADOPTION_RETRY_S)
 
     def is_confirmed(self) -> bool:
-        """Tell whether the settings were read from the table in this generation."""
+        """Return whether the settings were read from the table in this generation."""
         return self._state.settings.generation >= self._leadership.generation
 
     async def change(self, change: SettingsChange) -> Result[SettingsAccepted, AdminError]:
-        """Make `change` the next version; see ControlPlane.change_settings."""
+        """Store `change` as the next version; see ControlPlane.change_settings."""
         parsed = parse_tree(change.tree)
         if isinstance(parsed, Err):
             return Err(InvalidSettings.from_document(parsed.unwrap_err()))
-        # One change at a time: the second operator is compared with what the first one made.
+        # One change at a time: a concurrent change is checked against the result of the first one.
         async with self._lock:
             return await self._change(change, parsed.unwrap())
 
@@ -89,32 +89,32 @@
             return Err(_not_leader())
         current = self._state.settings
         content = canonical_json(tree)
-        made_version = self._state.version_of_change(change.change_id)
-        if made_version is not None:
-            return self._repeated(change, content, made_version)
+        created_version = self._state.version_of_change(change.change_id)
+        if created_version is not None:
+            return self._answer_repeated(change, content, created_version)
         if change.expected_version != current.version:
             return Err(self._conflict(tree))
         record = SettingsRecord.in_force(current).successor(change.change_id, content)
         written = await self._table.write(record)
         if written.is_err():
-            return await self._refused(change, tree, written.unwrap_err())
+            return await self._handle_write_error(change, tree, written.unwrap_err())
         return await self._put_in_force(record)
 
-    def _repeated(
-        self, change: SettingsChange, content: bytes, made_version: int
+    def _answer_repeated(
+        self, change: SettingsChange, content: bytes, created_version: int
     ) -> Result[SettingsAccepted, AdminError]:
-        """Answer a change id that was accepted before; only the newest tree can be compared."""
+        """Answer a change id that was accepted before; only the current tree can be compared."""
         current = self._state.settings
-        if made_version < current.version or current.tree == content:
-            return Ok(SettingsAccepted(change.change_id, made_version))
+        if created_version < current.version or current.tree == content:
+            return Ok(SettingsAccepted(change.change_id, created_version))
         return Err(
             ChangeIdReused(
-                f"Change id {change.change_id} belongs to version {made_version}.",
+                f"Change id {change.change_id} belongs to version {created_version}.",
                 "Send the new tree under a change id of its own.",
             )
         )
 
-    async def _refused(
+    async def _handle_write_error(
         self, change: SettingsChange, tree: SettingsTree, error: PlatformError
     ) -> Result[SettingsAccepted, AdminError]:
         if isinstance(error, VersionConflict):
@@ -124,7 +124,7 @@
             return Err(_outcome_unknown(change.change_id))
         return Err(
             SettingsStoreUnavailable(
-                "The platform's table service does not take the change now; nothing changed.",
+                "The platform's table service does not accept the change now; nothing changed.",
                 "Send the same change again after the time given.",
                 error.retry_after_s or STORE_RETRY_AFTER_S,
             )
@@ -133,7 +133,7 @@
     async def _put_in_force(self, record: SettingsRecord) -> Result[SettingsAccepted, AdminError]:
         proposed = await self._node.propose(self._command(record))
         if proposed.is_err():
-            # The table has the change, so the next leader puts it in force; this one can't tell.
+            # The table holds the change, so the next leader adopts it; this one doesn't know when.
             return Err(_outcome_unknown(record.change_id))
         log_message(
             message_type="settings:accepted",
@@ -150,7 +150,7 @@
             return await self._adopt()
 
     async def _adopt(self) -> bool:
-        """Put the table's version in force if it is newer; the lock must be held."""
+        """Put the table's version in force if it is newer; the caller must hold the lock."""
         read = await self._table.read()
         if read.is_err():
             return False
@@ -165,7 +165,7 @@
 
     def _conflict(self, refused: SettingsTree) -> SettingsConflict:
         current = self._state.settings
-        in_force = self._trees.tree(current) or SettingsTree()
+        in_force = self._tree_cache.tree(current) or SettingsTree()
         return SettingsConflict(
             f"The tree is at version {current.version}; another change was accepted first.",
             "Read the tree in force, merge your change into it and send that.",
@@ -184,7 +184,7 @@
 
 def _outcome_unknown(change_id: str) -> SettingsOutcomeUnknown:
     return SettingsOutcomeUnknown(
-        "The change may have taken effect: an answer was lost on the way.",
+        "The change may have taken effect: a reply was lost.",
         f"Ask for the progress of change {change_id}, or send it again under the same id.",
         STORE_RETRY_AFTER_S,
         change_id=change_id,
--- a/indigoworks/controller/settings_table.py
+++ b/indigoworks/controller/settings_table.py
@@ -1,4 +1,4 @@
-"""Settings in the platform's table service."""
+"""Storage of the settings tree in the platform's table service."""
 
 from eliot import log_message
 from result import Err, Ok, Result
@@ -10,11 +10,11 @@
 from indigoworks.platform.table_store import TableStore
 
 RESOLVE_LIMIT_S = 2.0
-"""Time after which no further attempt is made to learn the outcome of a write whose answer was
-lost. With the platform's timeout of 1 s a request, an operator is answered within 5 s."""
+"""Time after which no further attempt is made to resolve the outcome of a write whose reply was
+lost. With the platform's timeout of 1 s per request, an operator gets a response within 5 s."""
 
 ATTEMPT_PAUSE_S = 0.2
-"""Pause before such an attempt."""
+"""Pause before each attempt to resolve a lost reply."""
 
 
 class SettingsTable:
@@ -26,7 +26,7 @@
         self._clock = clock
 
     async def read(self) -> Result[SettingsRecord | None, PlatformError]:
-        """Return the newest accepted settings, or None when there never were any."""
+        """Return the latest accepted settings, or None if there are none yet."""
         answer = await self._table.read(self._key)
         if isinstance(answer, Err):
             return answer
@@ -34,14 +34,14 @@
         return Ok(None if row is None else SettingsRecord.from_row(row.value, row.version))
 
     async def write(self, record: SettingsRecord) -> Result[None, PlatformError]:
-        """Make `record` the newest version, if the version before it is the newest now.
+        """Write `record` if the stored version is the one before it.
 
-        An answer that is lost is resolved by the next conditional write and by reading back, not
-        by reading alone: a read that still shows the old version does not prove that a slow
+        A lost reply is resolved by repeating the conditional write and then reading back. Reading
+        alone is not enough: a read that still shows the old version does not prove that a delayed
         write will not take effect later.
 
-        :returns: VersionConflict or another error after which nothing took effect;
-            PlatformOutcomeUnknown when the outcome could not be learnt.
+        :returns: VersionConflict or another error if nothing took effect; PlatformOutcomeUnknown
+            if the outcome could not be resolved.
         """
         outcome = await self._write_once(record)
         if not _is_unknown(outcome):
@@ -59,12 +59,12 @@
         return await self._table.transact([write])
 
     async def _resolve(self, record: SettingsRecord) -> Result[None, PlatformError] | None:
-        """Try to learn the outcome of an earlier write; None when it is still unknown."""
+        """Return the outcome of an earlier write, or None if it is still unknown."""
         repeated = await self._write_once(record)
         if repeated.is_ok():
             return Ok(None)
         if not isinstance(repeated.unwrap_err(), VersionConflict):
-            # A refusal of the repeat says nothing about the first write.
+            # A refused repeat does not show whether the first write took effect.
             return None
         read = await self.read()
         if read.is_err():
@@ -74,7 +74,7 @@
         log_message(message_type="settings:lost_answer_resolved", is_ours=is_ours)
         if is_ours:
             return Ok(None)
-        # Another change stands where ours would: ours can no longer take effect.
+        # Another change has taken this version, so ours can no longer take effect.
         return repeated
 
 
--- a/indigoworks/controller/view_history.py
+++ b/indigoworks/controller/view_history.py
@@ -1,4 +1,4 @@
-"""Recent changes of the replicated state, from which deltas of views are made."""
+"""History of recent changes to the replicated state, the source of view deltas."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 from indigoworks.wire.control_pb2 import ChangeRanges, ReplaceSettings, Server, ViewDelta
 
 MAX_KEPT_CHANGES = 4096
-"""Changes kept. A follower of views that is further behind gets a snapshot."""
+"""Number of changes kept. A router that is further behind gets a snapshot."""
 
 
 @dataclass(frozen=True)
@@ -21,10 +21,9 @@
 
 
 class ViewHistory:
-    """The newest changes, oldest first.
+    """The most recent changes, oldest first.
 
-    Of the settings only the newest change is kept: a delta carries no other, and a tree may be
-    large.
+    Of settings changes only the latest is kept: a delta needs no other, and a tree may be large.
     """
 
     def __init__(self) -> None:
@@ -33,7 +32,7 @@
         self._newest_settings: ViewChange | None = None
 
     def clear(self, base_version: int) -> None:
-        """Forget everything; deltas begin at `base_version` from now on."""
+        """Remove all changes; deltas can start at `base_version` or later from now on."""
         self._base_version = base_version
         self._changes.clear()
         self._newest_settings = None
@@ -43,7 +42,7 @@
         self._add(ViewChange(index, server=server))
 
     def add_ranges(self, index: int, ranges: ChangeRanges) -> None:
-        """Record an applied change of ranges, tokens filled in."""
+        """Record an applied change of ranges with its assigned tokens."""
         self._add(ViewChange(index, ranges=ranges))
 
     def add_settings(self, index: int, settings: ReplaceSettings) -> None:
@@ -53,9 +52,9 @@
     def delta(
         self, from_version: int, to_version: int, services: Iterable[str]
     ) -> ViewDelta | None:
-        """Return the changes after `from_version`, or None if they are no longer all kept.
+        """Return the changes after `from_version`, or None if some are no longer kept.
 
-        :param services: services wanted; empty for all.
+        :param services: services to include; empty for all.
         """
         if from_version < self._base_version or from_version > to_version:
             return None
--- a/indigoworks/controller/view_publisher.py
+++ b/indigoworks/controller/view_publisher.py
@@ -1,4 +1,4 @@
-"""Answers the polls of routers for their views."""
+"""Serves view polls of routers."""
 
 import asyncio
 
@@ -9,23 +9,23 @@
 from indigoworks.controllog.control_log_node import ControlLogNode
 from indigoworks.wire.control_pb2 import ErrorReply, Frame, ViewReply, ViewRequest
 
-HOLD_S = 0.25
-"""Longest time for which a poll is held when nothing is new. Bounds how often a router renews
-its view lease."""
+LONG_POLL_S = 0.25
+"""Longest time for which a poll without changes is held. Determines how often a router renews its
+view lease."""
 
 MAX_STALENESS_S = 1.0
-"""A controller whose state was confirmed longer ago sends routers to another one."""
+"""A controller whose state was last confirmed longer ago refuses polls."""
 
 SNAPSHOT_WAIT_S = 0.3
-"""Longest wait for one's turn to get a whole view. A router gives its poll up after 0.6 s; a view
-that comes later would cost the same and help nobody."""
+"""Longest wait of a poll for its snapshot. A router abandons its poll after 0.6 s; a snapshot sent
+later would cost the same and be discarded."""
 
 RETRY_AFTER_S = 0.2
-"""When a router may ask a controller again that could not answer."""
+"""Retry time for a router whose poll was refused."""
 
 
 class ViewPublisher:
-    """Serves views from the replicated state, on any member of the group."""
+    """Answers view polls from the replicated state, on any member of the group."""
 
     def __init__(
         self,
@@ -39,24 +39,24 @@
         self._routers = routers
         self._clock = clock
         self._messages = ViewMessageCache(state)
-        self._snapshot_turn = asyncio.Lock()
+        self._snapshot_lock = asyncio.Lock()
 
     async def handle(self, request: ViewRequest) -> Frame:
-        """Answer one poll: at once when something is new, else after HOLD_S."""
+        """Answer a poll: at once if the view has changed, else after at most LONG_POLL_S."""
         self._routers.record_poll(request)
-        await self._wait_for_news(request)
+        await self._wait_for_change(request)
         if self._needs_snapshot(request):
-            return await self._answer_in_turn(request)
+            return await self._answer_serially(request)
         return self._answer(request)
 
-    async def _answer_in_turn(self, request: ViewRequest) -> Frame:
-        """Give whole views one by one, so that renewals get through in between.
+    async def _answer_serially(self, request: ViewRequest) -> Frame:
+        """Send snapshots one at a time, so that lease renewals can run in between.
 
-        When many routers start at once, views for all of them in one turn of the event loop would
-        cost a leader its leader lease.
+        When many routers start at once, building all their snapshots in one event loop iteration
+        would make a leader lose its lease.
         """
         arrived_at_s = self._clock.now()
-        async with self._snapshot_turn:
+        async with self._snapshot_lock:
             if self._clock.now() - arrived_at_s > SNAPSHOT_WAIT_S:
                 return Frame(error=_too_many_snapshots())
             return self._answer(request)
@@ -67,15 +67,15 @@
             return Frame(error=_cannot_serve())
         return Frame(view_reply=self._reply(request, staleness_s))
 
-    async def _wait_for_news(self, request: ViewRequest) -> None:
-        deadline_s = self._clock.now() + HOLD_S
-        while not self._has_news(request):
+    async def _wait_for_change(self, request: ViewRequest) -> None:
+        deadline_s = self._clock.now() + LONG_POLL_S
+        while not self._has_changed(request):
             remaining_s = deadline_s - self._clock.now()
             if remaining_s <= 0:
                 return
             await self._node.wait_applied(self._state.applied_index, remaining_s)
 
-    def _has_news(self, request: ViewRequest) -> bool:
+    def _has_changed(self, request: ViewRequest) -> bool:
         is_other_generation = request.known_generation != self._node.status.generation
         return is_other_generation or self._state.version > request.known_version
 
@@ -95,10 +95,10 @@
         return staleness_s if staleness_s <= MAX_STALENESS_S else None
 
     def _may_serve(self, request: ViewRequest) -> bool:
-        """Tell whether the state may be shown to this router.
+        """Return whether the state may be sent to this router.
 
-        A new generation begins from a checkpoint that may be older than the newest accepted
-        settings. Until its leader has read them from the table service, a view could take a
+        A new generation starts from a checkpoint that may be older than the latest accepted
+        settings. Until its leader has read them from the table service, a view could move a
         router back to an older version.
         """
         generation = self._node.status.generation
@@ -111,7 +111,7 @@
         generation = self._node.status.generation
         is_same_generation = request.known_generation == generation
         known_version = request.known_version if is_same_generation else 0
-        # A member that began from a snapshot numbers the same view higher; it is no news.
+        # A member restored from a snapshot gives the same view a higher version.
         reply = ViewReply(
             version=max(self._state.version, known_version),
             generation=generation,
@@ -152,7 +152,7 @@
 def _too_many_snapshots() -> ErrorReply:
     return ErrorReply(
         kind="too_many_snapshots",
-        message="Too many routers ask this controller for a whole view at once.",
+        message="Too many routers request a snapshot from this controller at once.",
         remedy="Ask another controller, or this one again after the time given.",
         retry_after_s=RETRY_AFTER_S,
     )
--- a/indigoworks/controller/view_snapshot_writer.py
+++ b/indigoworks/controller/view_snapshot_writer.py
@@ -1,4 +1,4 @@
-"""The leader's task that puts views into the platform's object store."""
+"""The leader's task that writes view snapshots to the platform's object store."""
 
 from eliot import log_message
 
@@ -10,15 +10,15 @@
 from indigoworks.wire.control_pb2 import ViewReply
 
 WRITE_INTERVAL_S = 10.0
-"""Time between two writes. A router that starts from an older view needs a longer delta only."""
+"""Interval between writes; a router that starts from an older snapshot needs a longer delta."""
 
 
 class ViewSnapshotWriter:
-    """Writes the committed state as a view, if it has changed since the last write.
+    """Writes the committed state as a view snapshot whenever it has changed since the last write.
 
-    Nothing depends on the object being there, new, or written by the newest leader: it holds
-    committed state only, a router may not act upon it before a controller has confirmed a view,
-    and what it lacks comes as a delta.
+    Correctness does not depend on the object: it may be missing, old, or written by an earlier
+    leader. It holds committed state only, a router must not act on it before a controller has
+    confirmed a view, and later changes come as a delta.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._written_version = 0
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write snapshots until cancelled."""
         while True:
             is_confirmed = self._state.settings.generation >= self._leadership.generation
             is_changed = self._state.version != self._written_version
