--- a/indigoworks/routes/__init__.py
+++ b/indigoworks/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes by host and path, services and limits: the operator's configuration in force."""
+"""The operator's configuration: routes by host and path, services, limits and group weights."""
--- a/indigoworks/routes/caller_limits.py
+++ b/indigoworks/routes/caller_limits.py
@@ -1,11 +1,11 @@
-"""What a caller may send, and for how long its connection may rest."""
+"""Limits on callers' requests and connections."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Sizes in bytes, times in seconds."""
+    """Maximum sizes of a request in bytes, and timeouts of a caller's connection in seconds."""
 
     max_header_bytes: int = 64 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
--- a/indigoworks/routes/configuration.py
+++ b/indigoworks/routes/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as one immutable value."""
+"""The operator's configuration, parsed."""
 
 from dataclasses import dataclass, field
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """Routes, services and limits of one version.
+    """Immutable routes, services and limits of one version.
 
-    :ivar shares: what groups weigh; all the same where the operator says nothing.
+    :ivar shares: weights of the groups; equal by default.
     """
 
     version: int
@@ -32,14 +32,14 @@
         object.__setattr__(self, "_routes_by_host", by_host)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix that begins `path`."""
+        """Return the route of `host` with the longest prefix of `path`, or None."""
         for route in self._routes_by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def share_of(self, route: Route, service: str, key: int | None) -> Share:
-        """Return the group that requests of `route` are charged to, and its weight there."""
+        """Return the group that requests of `route` are charged to, and its weight at `service`."""
         group = route.host.lower()
         return Share(
             group, self.shares.weight_of(service, group, None if key is None else str(key))
--- a/indigoworks/routes/configuration_holder.py
+++ b/indigoworks/routes/configuration_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process."""
+"""Holds the configuration that is in force in this process."""
 
 from collections.abc import Callable
 
@@ -7,12 +7,13 @@
 from indigoworks.routes.configuration import Configuration
 
 NEWER_VERSION_VALID_S = 5.0
-"""A newer version that nobody told of for so long is not waited for: its holder is gone, or was
-out of step. Twice the longest time of today's deployments in which a change must be in force."""
+"""Time for which a peer's report of a newer version counts. A version without newer reports is no
+longer awaited: that process has ended or was out of sync. Twice the longest time in which
+a change must be in force in current deployments."""
 
 
 class ConfigurationHolder:
-    """Holds the newest configuration; a version never goes back within a process's life."""
+    """Holds the newest configuration; its version never decreases while the process runs."""
 
     def __init__(self) -> None:
         self._current: Configuration | None = None
@@ -21,22 +22,22 @@
         self._listeners: list[Callable[[Configuration], None]] = []
 
     def current(self) -> Configuration | None:
-        """Return what is in force; None until a configuration was read."""
+        """Return the configuration in force; None until the first was read."""
         return self._current
 
     def record_newer_version(self, version: int, reported_at_s: float) -> None:
-        """Take note that another process has this version in force.
+        """Record that another process has this version in force.
 
-        A store that came back from a copy may be without it for as long as the operator needs.
+        A store that was restored from a backup may lack it until the operator writes it again.
 
-        :param at_s: clock reading of the moment at which it said so.
+        :param reported_at_s: clock reading when that process reported it.
         """
         if version >= self._newest_version:
             self._newest_version = version
             self._newest_reported_s = reported_at_s
 
     def is_behind(self, now_s: float) -> bool:
-        """Tell whether another process that is heard has a newer configuration in force."""
+        """Tell whether another process recently reported a newer configuration in force."""
         is_older = self._current is not None and self._current.version < self._newest_version
         return is_older and now_s - self._newest_reported_s <= NEWER_VERSION_VALID_S
 
--- a/indigoworks/routes/errors.py
+++ b/indigoworks/routes/errors.py
@@ -1,9 +1,9 @@
-"""Typed errors of the configuration."""
+"""Errors of the configuration."""
 
 from indigoworks.common.errors import IndigoworksError
 
 
 class ConfigurationInvalid(IndigoworksError):
-    """A configuration that cannot be put in force; the one before stays."""
+    """The configuration cannot be put in force; the previous one stays in force."""
 
     kind = "configuration_invalid"
--- a/indigoworks/routes/route.py
+++ b/indigoworks/routes/route.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that takes part in a split of a route's requests, by weight."""
+    """A service that receives a share of a route's requests, by weight."""
 
     service: str
     weight: float
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host under one path prefix.
+    """Rules for the requests to one host under one path prefix.
 
-    :ivar is_repeatable: requests may run more than once.
-    :ivar timeout_s: longest time that a request is held, in seconds.
-    :ivar aim_s: time within which an answer is worth its full credit, in seconds.
-    :ivar max_attempts: servers that one request may be sent to.
+    :ivar is_repeatable: requests may safely run more than once.
+    :ivar timeout_s: longest time that a request may take in the gateway, in seconds.
+    :ivar aim_s: target response time, in seconds; a later answer is worth less to the caller.
+    :ivar max_attempts: number of servers that a request may be sent to.
     :ivar priority: 0 is the most urgent.
-    :ivar services: one service, or several with weights.
+    :ivar services: services that share the requests by weight; often a single one.
     """
 
     name: str
--- a/indigoworks/routes/service.py
+++ b/indigoworks/routes/service.py
@@ -5,13 +5,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Servers that do the same work.
+    """A set of servers that handle the same requests.
 
     :ivar is_keyed: its servers own keys, and a request goes to the owner of its key.
-    :ivar max_connections: connections that each server accepts from all callers together.
-    :ivar cold_s: seconds for which a server is slow after it has started.
-    :ivar cold_requests_per_s: requests a second that it bears meanwhile; 0: not named.
-    :ivar warm_up_s: seconds for which keys stay slow that came without a handover.
+    :ivar max_connections: connections that each server accepts in total.
+    :ivar cold_s: seconds for which a server is slow after its start.
+    :ivar cold_requests_per_s: requests a second that it can handle during `cold_s`; 0: unspecified.
+    :ivar warm_up_s: seconds for which keys are slow at a new owner if there was no handover.
     """
 
     name: str
--- a/indigoworks/routes/share.py
+++ b/indigoworks/routes/share.py
@@ -1,16 +1,16 @@
-"""Whom a request is charged to."""
+"""The group that a request is charged to, and its weight."""
 
 from dataclasses import dataclass
 
 EQUAL_WEIGHT = 1.0
-"""Weight of a group where no level of the tree sets one, as in the settings tree."""
+"""Weight of a group if no level of the tree sets one; the same default as in the settings tree."""
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A group that shares servers with others: its callers use one host.
+    """A group, that is the callers of one host, and its share of the servers.
 
-    :ivar weight: its part of the slots, relative to the other groups.
+    :ivar weight: its share of the slots, relative to other groups.
     """
 
     group: str
--- a/indigoworks/routes/share_tree.py
+++ b/indigoworks/routes/share_tree.py
@@ -1,4 +1,4 @@
-"""What the groups on the users' platform weigh: the settings tree, reduced to weights."""
+"""Weights of groups: the part of the settings tree that the gateways use."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class ServiceShares:
-    """Weights that one service sets: for every group, for single groups, for single keys."""
+    """Weights set by a service: for all its groups, by group, and by key."""
 
     weight: float | None = None
     groups: Mapping[str, float] = field(default_factory=dict)
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True)
 class ShareTree:
-    """Immutable tree of weights; the nearest level that sets one wins.
+    """Immutable tree of weights; the most specific level that sets one applies.
 
-    Levels from far to near, as in indigoworks.settings: built-in, root, `groups.G`, `services.S`,
-    `services.S.groups.G`, `services.S.keys.K`.
+    Levels from general to specific, as in indigoworks.settings: built-in, root, `groups.G`,
+    `services.S`, `services.S.groups.G`, `services.S.keys.K`.
 
     :ivar weight: weight at the root.
     """
@@ -30,7 +30,7 @@
     services: Mapping[str, ServiceShares] = field(default_factory=dict)
 
     def weight_of(self, service: str, group: str, key: str | None = None) -> float:
-        """Return the weight of `group` at `service`, for requests of `key`."""
+        """Return the weight of `group` at `service`, for requests with `key` if given."""
         found = self.services.get(service, _NO_WEIGHTS)
         levels = (
             None if key is None else found.keys.get(key),
