--- a/indigoworks/broker/__init__.py
+++ b/indigoworks/broker/__init__.py
@@ -1,1 +1,3 @@
-"""Slots at servers, granted for all gateways by one of them: it alone counts a server's work."""
+"""Brokers: for each service and zone one gateway grants server slots to all gateways, so that it
+alone knows how many requests a server has.
+"""
--- a/indigoworks/broker/broker_client.py
+++ b/indigoworks/broker/broker_client.py
@@ -1,4 +1,4 @@
-"""Requests to brokers."""
+"""Client side of the broker protocol."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from indigoworks.exchange.peer_address import PeerAddress
 
 REPLY_TIMEOUT_S = 0.05
-"""Longest wait for a reply before a request is sent again: gateways are up to 3 ms apart, and a
-broker that takes in a change of 60 servers looks at its socket some 50 ms later."""
+"""Time without a reply after which a request is sent again. The latency between gateways is up to
+3 ms, but a broker that processes a change of 60 servers reads its socket some 50 ms later."""
 
 MAX_SENDS = 2
-"""Sendings of a request without any reply before the broker counts as silent."""
+"""Consecutive sends of a request without a reply after which the broker counts as silent."""
 
 QUEUED_RESEND_S = 0.25
-"""A request that waits is sent again so often: lost replies, and brokers that ended, show by it.
-Each 0.1 s a third of all requests that a broker read were such repeats (profile of 24 s)."""
+"""Interval at which a queued request is sent again, to detect lost replies and ended brokers. With
+0.1 s a third of all requests that a broker received were such duplicates."""
 
 RELEASE_RESEND_PAUSES_S = (0.02, 0.04)
-"""Pauses before a release that others wait for is sent once more, and once more."""
+"""Pauses before the copies of a release that other gateways wait for."""
 
 Send = Callable[[PeerAddress, SlotRequest | SlotRelease], None]
 
@@ -34,7 +34,7 @@
 
 
 class BrokerClient:
-    """Sends requests until they are answered.
+    """Sends requests to brokers and resends them until they are answered.
 
     :param send: sends a message to a gateway, which may be this one.
     """
@@ -47,19 +47,19 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def next_number(self) -> int:
-        """Return a number for a new request."""
+        """Return the number of a new request."""
         self._number += 1
         return self._number
 
     async def ask(self, broker: PeerAddress, request: SlotRequest) -> SlotReply | None:
-        """Return the final reply to a request; None: the broker does not answer.
+        """Return the final reply to a request, or None if the broker does not answer.
 
-        Cancelling withdraws the request.
+        Cancellation withdraws the request.
         """
-        opened = self._pending[request.number] = _PendingRequest()
+        pending = self._pending[request.number] = _PendingRequest()
         is_final = False
         try:
-            reply = await self._final_reply(broker, request, opened)
+            reply = await self._final_reply(broker, request, pending)
             is_final = reply is not None
             return reply
         finally:
@@ -68,18 +68,18 @@
                 self._send(broker, SlotRelease(request.number))
 
     def release(self, broker: PeerAddress, release: SlotRelease) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self._send(broker, release)
 
     def release_repeatedly(self, broker: PeerAddress, release: SlotRelease) -> None:
-        """Give back what others wait for, and say it again: nobody answers a release."""
+        """Send a release several times, as releases are not acknowledged and may be lost."""
         self._send(broker, release)
         task = asyncio.ensure_future(self._resend_release(broker, release))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Say nothing more."""
+        """Cancel pending resends."""
         for task in self._tasks:
             task.cancel()
 
@@ -89,36 +89,36 @@
             self._send(broker, release)
 
     def handle_reply(self, reply: SlotReply) -> None:
-        """Take a reply; one that nobody waits for any more is passed over."""
-        opened = self._pending.get(reply.number)
-        if opened is not None:
-            opened.reply = reply
-            opened.arrived.set()
+        """Pass a reply to its request; ignored if that is no longer pending."""
+        pending = self._pending.get(reply.number)
+        if pending is not None:
+            pending.reply = reply
+            pending.arrived.set()
 
     async def _final_reply(
-        self, broker: PeerAddress, request: SlotRequest, opened: _PendingRequest
+        self, broker: PeerAddress, request: SlotRequest, pending: _PendingRequest
     ) -> SlotReply | None:
         unanswered = 0
         while unanswered < MAX_SENDS:
             self._send(broker, request)
-            reply = await self._next_reply(opened, REPLY_TIMEOUT_S)
+            reply = await self._next_reply(pending, REPLY_TIMEOUT_S)
             if reply is None:
                 unanswered += 1
                 continue
             unanswered = 0
             if reply.outcome is SlotOutcome.QUEUED:
-                reply = await self._next_reply(opened, QUEUED_RESEND_S)
+                reply = await self._next_reply(pending, QUEUED_RESEND_S)
             if reply is not None and reply.outcome is not SlotOutcome.QUEUED:
                 return reply
         return None
 
-    async def _next_reply(self, opened: _PendingRequest, wait_s: float) -> SlotReply | None:
-        """Return the newest reply since the last call; None: none came in time."""
-        if not opened.arrived.is_set():
+    async def _next_reply(self, pending: _PendingRequest, wait_s: float) -> SlotReply | None:
+        """Wait for a reply that arrived since the last call; None after `wait_s` seconds."""
+        if not pending.arrived.is_set():
             try:
                 async with asyncio.timeout(wait_s):
-                    await opened.arrived.wait()
+                    await pending.arrived.wait()
             except TimeoutError:
                 return None
-        opened.arrived.clear()
-        return opened.reply
+        pending.arrived.clear()
+        return pending.reply
--- a/indigoworks/broker/broker_codec.py
+++ b/indigoworks/broker/broker_codec.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and brokers as datagrams."""
+"""Encodes and decodes the datagrams between gateways and brokers."""
 
 from google.protobuf.message import DecodeError
 
@@ -28,7 +28,7 @@
 
 
 def encode_datagram(datagram: BrokerDatagram) -> bytes:
-    """Return the bytes of a datagram."""
+    """Return the encoded datagram."""
     message = pb.BrokerDatagramMessage(node=datagram.node, boot=datagram.boot)
     content = datagram.content
     if isinstance(content, SlotRequest):
@@ -43,7 +43,7 @@
 
 
 def decode_datagram(data: bytes) -> BrokerDatagram | None:
-    """Return the datagram of some bytes; None where they are none."""
+    """Return the decoded datagram, or None if it is invalid."""
     message = pb.BrokerDatagramMessage()
     try:
         message.ParseFromString(data)
@@ -156,8 +156,8 @@
 def _decode_release(message: pb.SlotReleaseMessage) -> SlotRelease:
     word = None
     if message.HasField("word"):
-        said = message.word
-        word = ServerWord(said.running, said.waiting, said.slots, said.pace_percent / PERCENT)
+        load = message.word
+        word = ServerWord(load.running, load.waiting, load.slots, load.pace_percent / PERCENT)
     return SlotRelease(
         message.number, message.is_served, word, message.is_unreached, message.has_ended_server
     )
--- a/indigoworks/broker/broker_datagram.py
+++ b/indigoworks/broker/broker_datagram.py
@@ -1,4 +1,4 @@
-"""One datagram between a gateway and a broker."""
+"""Datagram between a gateway and a broker."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerDatagram:
-    """A message and the gateway that sent it, with its boot."""
+    """A message with the node name and boot id of the gateway that sent it."""
 
     node: str
     boot: str
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a broker for the servers of one zone."""
+"""Queue of a broker for the servers in one zone."""
 
 from collections.abc import Callable
 from random import Random
@@ -22,16 +22,16 @@
 from indigoworks.servers.server_source import ServerSource
 
 EXTRA_REQUESTS_PER_SERVER = 0
-"""Requests that a server may have beyond its slots: what waits, waits here, where it can still go
-to whichever server is free first, and in the order of urgency over all gateways."""
+"""Requests that a server may have beyond its slots. None: a request that waits at the broker can
+still go to the first free server, and requests of all gateways are ordered by priority."""
 
 
 class BrokerQueue:
-    """Waiting requests, slots granted, and what is measured of the servers of one zone.
+    """Queued requests, granted slots and measured load for the servers in one zone.
 
-    :param reported: requests in flight by the reports of all gateways.
-    :ivar board: counts the slots that are granted.
-    :ivar unreached: servers that gateways cannot connect to.
+    :param reported: returns a server's requests in flight as reported by all gateways.
+    :ivar server_stats: counts the granted slots.
+    :ivar unreachable: servers that gateways cannot connect to.
     """
 
     def __init__(
@@ -61,8 +61,11 @@
         )
 
     def has_free_slot(self, request: SlotRequest) -> bool:
-        """Tell whether any server that the request may go to has room, and nobody waits for it, or
-        whether the next turn was promised to its caller."""
+        """Tell whether the request can be placed at once.
+
+        Either a server that it may go to has a free slot and no request is queued for the service,
+        or the next scheduled retry is that of its caller.
+        """
         if self.queue.expectation.has_turn(request.service, request.caller_mark):
             return True
         if self.queue.waiting_by_service().get(request.service):
@@ -74,9 +77,9 @@
         return not self.queue.expectation.turn_kept_for_s((request.service, None), usable)
 
     def apply_release(self, server: ServerRecord, reporter: str, release: SlotRelease) -> None:
-        """Take what came of a request at a server.
+        """Record the result of a request that held a slot.
 
-        :param teller: boot of the gateway that sent it.
+        :param reporter: boot id of the gateway that sent the release.
         """
         if release.word is not None:
             self.server_stats.note_word(server.server_id, release.word)
@@ -85,23 +88,23 @@
             self.unreachable.record_failure(server.server_id, reporter)
 
     def wait_s(self, request: SlotRequest) -> float:
-        """Return the seconds until a slot is likely to be free for one more request."""
+        """Estimate the seconds until a slot is free for one more request."""
         servers = self._selector.usable(request.service)
         if not servers:
             return float("inf")
         ahead = self.queue.waiting_by_service().get(request.service, 0)
         load = CandidateLoad.of(servers, self.server_stats, self._capacity)
-        # Who is refused here is promised a turn after those of all others.
+        # The retry of a refused request is scheduled after those of all others.
         line_s = 0.0 if load.rate_per_s is None else self.queue.expectation.line_s(request.service)
         return max(load.wait_s(ahead), line_s)
 
     def servers_changed(self) -> None:
-        """Look at all that waits."""
+        """Retry placing the queued requests after a change of the servers."""
         self._zone_servers.clear_cache()
         self.queue.capacity_changed()
 
     def refresh(self) -> None:
-        """Use servers again that have rested; forget those that left."""
+        """Restore servers whose exclusion has ended, and remove those that are no longer listed."""
         self.load.refresh()
         self.unreachable.restore_rested()
         for server_id in self.server_stats.known_servers():
--- a/indigoworks/broker/broker_selector.py
+++ b/indigoworks/broker/broker_selector.py
@@ -1,4 +1,4 @@
-"""Which gateway grants the slots of a service's servers in a zone."""
+"""Selects the gateway that grants the slots of a service's servers in a zone."""
 
 from collections.abc import Callable
 
@@ -10,40 +10,41 @@
 from indigoworks.exchange.peer_view import PeerView
 
 MAX_SILENCE_S = 0.5
-"""A broker must have been heard within this time."""
+"""A gateway from which nothing was received for longer is not selected as broker."""
 
 MAX_SILENCE_LARGE_GROUP_S = 1.0
-"""The same in a group that is large enough for hubs: before it has them, and where they fail, its
-gateways report each 0.6 s. With a shorter time each of them hears nobody in between, and is broker
-to itself."""
+"""MAX_SILENCE_S for a group that is large enough for hubs: while none works, its gateways report
+every 0.6 s. With a shorter time each gateway would see no other between reports and would select
+itself as broker."""
 
 MAX_UNANSWERED = 3
-"""A broker is left after so many requests in a row that it did not answer: one that was busy for a
-moment is still the one that knows what runs at its servers."""
+"""Consecutive unanswered requests after which a broker is excluded. Not fewer: a broker that is
+busy for a moment is still the one that knows what runs at its servers."""
 
 EXCLUSION_S = 1.0
-"""A broker that was left is not asked for so long."""
+"""Time for which an excluded broker is not selected."""
 
 CHOICE_CACHE_S = 0.2
-"""A choice is used again for so long: it takes a look at each known gateway, which at 79 and each
-0.05 s took 4 % of the time of a gateway on a weak machine (profile of 24 s)."""
+"""Time for which a selection is cached. Selecting checks every known gateway: with 79 gateways and
+a cache time of 0.05 s this took 4 % of the processor time of a gateway on a slow machine."""
 
 MIN_CAPACITY_SHARE = 0.5
-"""Brokers are machines with at least this share of the capacity of the strongest one of the zone:
-each of these takes about the same number of services. An estimate, not measured."""
+"""Gateways with less than this share of the highest capacity in the zone do not act as brokers; the
+others are selected for about the same number of services each."""
 
 
 class BrokerSelector:
-    """The same gateway for all who hear the same ones: the first by rendezvous hashing among the
-    strong machines of the servers' zone, or of all zones where that one has none; among the weak
-    ones where all are weak.
+    """Selects brokers by rendezvous hashing, so that gateways with the same peers agree.
 
-    Nobody appoints a broker: whoever is asked acts. While two act for the same servers, as long as
-    gateways hear different peers, these may get more requests than they have slots; what they do
-    not run they turn away.
+    Candidates are gateways with a capacity above 0, in the servers' zone if there are any there; if
+    no such gateway is eligible, those without capacity.
+
+    Brokers are not elected: any gateway that receives a request acts as broker. While gateways see
+    different peers, two brokers may act for the same servers. These servers may then get more
+    requests than they have slots, and refuse those that they cannot run.
 
     :param own: address of this process.
-    :param may_act: tells whether this process may be broker itself.
+    :param may_act: returns whether this process may act as broker.
     """
 
     def __init__(
@@ -64,9 +65,9 @@
         self._chosen: dict[tuple[str, str], tuple[float, PeerAddress | None]] = {}
 
     def broker(self, service: str, zone: str) -> PeerAddress | None:
-        """Return the gateway to ask for slots; None: there is none.
+        """Return the gateway to request slots from, or None if there is none.
 
-        A gateway that has read no member of the group yet does not know whom others ask.
+        None before this process has read any group member: it cannot know which broker others use.
         """
         if not self._directory.has_any():
             return None
@@ -79,19 +80,19 @@
         return chosen
 
     def record_reply(self, node: str) -> None:
-        """Take note that a broker has answered."""
+        """Record that a broker has replied."""
         self._unanswered.pop(node, None)
 
     def record_unanswered(self, node: str) -> bool:
-        """Take note that a broker left a request unanswered. Returns whether it is left now."""
-        silences = self._unanswered[node] = self._unanswered.get(node, 0) + 1
-        if silences < MAX_UNANSWERED:
+        """Record that a broker did not answer a request; return whether it is now excluded."""
+        unanswered = self._unanswered[node] = self._unanswered.get(node, 0) + 1
+        if unanswered < MAX_UNANSWERED:
             return False
         self.exclude(node)
         return True
 
     def exclude(self, node: str) -> None:
-        """Ask another gateway for a while."""
+        """Do not select this broker for EXCLUSION_S."""
         self._unanswered.pop(node, None)
         self._excluded_until_s[node] = self._clock.now() + EXCLUSION_S
         self._chosen.clear()
@@ -101,16 +102,16 @@
         if self._may_act():
             known.append(self._own)
         strong = [each for each in known if each.capacity > 0 and self._is_eligible(each)]
-        able = strong or [each for each in known if self._is_eligible(each)]
-        if not able:
+        eligible = strong or [each for each in known if self._is_eligible(each)]
+        if not eligible:
             return None
-        near = [each for each in able if each.zone == zone] or able
-        strongest = max(each.capacity for each in near)
-        equals = [each for each in near if each.capacity >= MIN_CAPACITY_SHARE * strongest]
-        return min(equals, key=lambda each: _digest(service, zone, each.node))
+        in_zone = [each for each in eligible if each.zone == zone] or eligible
+        strongest = max(each.capacity for each in in_zone)
+        candidates = [each for each in in_zone if each.capacity >= MIN_CAPACITY_SHARE * strongest]
+        return min(candidates, key=lambda each: _digest(service, zone, each.node))
 
     def _is_eligible(self, peer: PeerAddress) -> bool:
-        """Tell whether a gateway was heard of late and not left; this process always is."""
+        """Tell whether a gateway is live and not excluded; this process always is eligible."""
         if peer is self._own:
             return True
         now_s = self._clock.now()
@@ -119,8 +120,8 @@
         heard_s = self._peers.heard_time_s(peer.node)
         if heard_s is None:
             return False
-        within_s = MAX_SILENCE_LARGE_GROUP_S if self._directory.has_many() else MAX_SILENCE_S
-        return now_s - heard_s <= within_s
+        max_silence_s = MAX_SILENCE_LARGE_GROUP_S if self._directory.has_many() else MAX_SILENCE_S
+        return now_s - heard_s <= max_silence_s
 
 
 def _digest(service: str, zone: str, node: str) -> int:
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that ask brokers, and act as one."""
+"""The parts of a gateway that use brokers, and act as one."""
 
 from dataclasses import replace
 from random import Random
@@ -29,18 +29,18 @@
 from indigoworks.quarantine.doubt_table import DoubtTable
 
 PORT_OFFSET = 1
-"""Brokers are asked at the port after that of the exchange, so that a directory of gateways names
-one port for both."""
+"""A broker listens on the port after that of the exchange, so that the directory of gateways needs
+to list only one port."""
 
 
 class BrokerSubsystem:
-    """Builds broker, client and the socket between them.
+    """Builds the broker, the client and the socket that they share.
 
     :param own: address of this process as peers know it.
-    :param board: what this gateway has in flight itself.
-    :param cuts: tells which share of the group this process hears.
-    :param doubts: takes what peers doubt, and has what is doubted here told to them.
-    :ivar broker: grants slots where others, or this gateway itself, ask for them.
+    :param server_stats: requests in flight as known to this gateway.
+    :param cuts: returns which share of the group this process receives reports from.
+    :param doubts: its new doubts are broadcast to peers, and those of peers are merged into it.
+    :ivar broker: grants slots to other gateways and this one.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         await self._port.open()
 
     def close(self) -> None:
-        """Close the socket."""
+        """Cancel pending resends and close the socket."""
         self._broadcaster.close()
         self.client.close()
         self._port.close()
--- a/indigoworks/broker/brokered_locks.py
+++ b/indigoworks/broker/brokered_locks.py
@@ -1,4 +1,4 @@
-"""Locks of suspect requests, as a gateway asks brokers for them."""
+"""Locks of suspect requests that a gateway requests from brokers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,14 +13,13 @@
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 
 MAX_BROKERS = 16
-"""Suspect requests are shared out among so many brokers at most."""
+"""Maximum number of brokers among which suspect requests are distributed."""
 
 ANY_ZONE = ""
-"""A suspect request may go to servers of any zone."""
+"""Zone of requests for locks: a suspect request may go to servers of any zone."""
 
 NO_BROKER_RETRY_S = 0.5
-"""Time after which a caller comes back where nobody has given the lock out: a broker that is lost
-is left within so long."""
+"""Retry-After if no broker has granted the lock: a lost broker is excluded within this time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,14 +31,14 @@
     number: int
 
     def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
-        """Give the right back, and tell what came of the try."""
+        """Release the lock and report the result of the attempt."""
         release = SlotRelease(self.number, is_served, has_ended_server=has_ended_server())
-        # Where it is lost the other tries would wait for the end of the lease.
+        # If the release is lost, other attempts wait for the end of the lease.
         self.client.release_repeatedly(self.broker, release)
 
 
 class BrokeredLocks:
-    """Implements `AttemptLocks`: the same broker for all gateways that hear the same ones."""
+    """Implements `AttemptLocks`: gateways with the same peers use the same broker for a request."""
 
     def __init__(self, selector: BrokerSelector, client: BrokerClient, clock: Clock) -> None:
         self._selector = selector
@@ -49,11 +48,10 @@
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
     ) -> BrokeredLock | Refusal | None:
-        """Return the lock of a request, why it is not to be had, or None: this process knows no
-        member of the group, itself included.
+        """Return the lock of a request, why it is refused, or None if there is no broker.
 
-        Where a broker does not answer it is asked again, or the next one. A try that went without
-        the lock would end a server whenever a reply is lost.
+        A broker that does not answer is asked again until it is excluded and another one is
+        selected: without this a lost reply would let an attempt crash a server without the lock.
         """
         while True:
             broker = self._selector.broker(f"suspects-{mark % MAX_BROKERS}", ANY_ZONE)
@@ -70,7 +68,7 @@
     async def _ask(
         self, broker: PeerAddress, mark: int, limit_s: float, lease_s: float
     ) -> BrokeredLock | Refusal | None:
-        """Return what a broker replies; None: it does not answer, or is about to end."""
+        """Return the lock or refusal of a broker; None if it does not answer or is stopping."""
         request = self._request(mark, limit_s, lease_s)
         reply = await self._client.ask(broker, request)
         if reply is None:
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -1,4 +1,4 @@
-"""Places requests through brokers, and by this gateway's own queue where there are none."""
+"""Places requests through brokers, or in this gateway's own queue if there are none."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -26,19 +26,20 @@
 from indigoworks.servers.server_source import ServerSource
 
 FULL_ZONE_PAUSE_S = 0.05
-"""A broker without a free slot is not asked for one again for so long; requests may wait there."""
+"""Time for which a broker that had no free slot is only sent requests that may wait."""
 
 
 OTHER_ZONE_PENALTY_S = 0.03
-"""A request waits in another zone only where a slot is likely to be free so much earlier: bytes
-between zones cost, and what a broker said is up to FULL_S old. An estimate, not measured."""
+"""A request waits in another zone only if a slot is expected to be free this much earlier: traffic
+between zones costs, and a broker's estimate is up to FULL_ZONE_PAUSE_S old."""
 
 
 @dataclass(frozen=True, slots=True)
 class _FullZone:
-    """A zone had no free slot.
+    """A zone that had no free slot.
 
-    :ivar until_s: clock reading until which it is not asked for one again.
+    :ivar until_s: clock reading until which its broker is only sent requests that may wait.
+    :ivar wait_s: seconds until a slot is free, as estimated by its broker.
     """
 
     until_s: float
@@ -54,20 +55,21 @@
 class BrokeredQueue:
     """Implements `Placer`.
 
-    A request without a key goes to the servers of the own zone, to those of another zone where
-    these have no free slot but others have, and else waits where a slot is likely to be free
-    first. Where no broker answers, and in a small group, this gateway decides by what it knows
-    itself; so it does for requests by key, which only one server can answer: brokers granted their
-    slots on five days, gained nothing for them (worth 0.555 for 0.549, 0.626 for 0.631, 0.592 for
-    0.635 on three), and took up to 0.7 of a core each.
+    A request without a key goes to a server of the local zone; if none has a free slot, to one of
+    another zone; and otherwise waits in the zone where a slot is expected to be free first. If no
+    broker answers, and in a small group, this gateway places requests from its own data.
 
-    What is bound to a rate is the broker's in any group and with any key: only who counts all
-    requests to a server keeps to a sum.
+    It also does so for requests with a key, which only one server can answer: placing them through
+    brokers was tried for five days, brought nothing (scores of 0.555, 0.626 and 0.592 with brokers
+    and 0.549, 0.631 and 0.635 without on three of them) and took up to 0.7 of a core per broker.
 
-    :param zone: of this process.
-    :param local: decides by this gateway's own knowledge.
+    Requests to servers with a rate limit go through a broker in any group and with any key: only
+    one that counts all requests to a server can keep to its limit.
+
+    :param zone: zone of this process.
+    :param local: places requests from this gateway's own data.
     :param directory: the group, which is small or large.
-    :param rates: tells which servers are bound to a rate.
+    :param rates: knows which servers have a rate limit.
     """
 
     def __init__(
@@ -94,34 +96,34 @@
         self._grants: dict[WaitingRequest, _Grant] = {}
         self._full_zones: dict[tuple[str, str], _FullZone] = {}
 
-    # ---- the port ----
+    # ---- Placer ----
 
     async def place(self, entry: WaitingRequest) -> Placement:
-        """Return a server with room, or why there is none."""
+        """Return a server with a free slot, or why there is none."""
         zones = self._zones(entry)
         if zones:
             return await self._place_in(entry, zones)
         placement = await self._local.place(entry)
         if not _is_for_broker(placement):
             return placement
-        # Its server has become bound to a rate while it waited here.
+        # Its server got a rate limit while the request was queued here.
         entry.renew()
         return await self._place_in(entry, self._zones(entry))
 
     def release(
         self, entry: WaitingRequest, started: Measurement, answer: ServerResponse | None
     ) -> None:
-        """Take back the place of a request."""
+        """Release the slot of a request."""
         grant = self._grants.pop(entry, None)
         if grant is None:
             self._local.release(entry, started)
             return
         self._client.release(grant.broker, _release_of(grant, answer))
 
-    # ---- where to ask ----
+    # ---- brokers ----
 
     async def _place_in(self, entry: WaitingRequest, zones: Sequence[str]) -> Placement:
-        """Return what the brokers of these zones say, or this gateway's own queue."""
+        """Place a request through the brokers of these zones, or else in the local queue."""
         placement: Placement | None = None
         if len(zones) > 1:
             placement = await self._find_free_slot(entry, zones)
@@ -131,7 +133,7 @@
         return await self._local.place(entry) if placement is None else placement
 
     def _zones(self, entry: WaitingRequest) -> Sequence[str]:
-        """Return the zones whose brokers may be asked, the first choice first; empty: none."""
+        """Return the zones whose brokers may place a request, the preferred one first."""
         if entry.key is not None:
             return self._zone_of_owner(entry.service, entry.key)
         if not self._directory.has_many() and not self._rates.has_bound():
@@ -144,7 +146,7 @@
         return (self._zone, *others) if self._zone in zones else tuple(others)
 
     def _zone_of_owner(self, service: str, key: int) -> Sequence[str]:
-        """Return the zone of a key's owner where that is bound to a rate; empty: it is not."""
+        """Return the zone of the key's owner if that has a rate limit, else nothing."""
         if not self._rates.has_bound():
             return ()
         owner = self._owners.find(service, key)
@@ -156,11 +158,11 @@
     async def _find_free_slot(
         self, entry: WaitingRequest, zones: Sequence[str]
     ) -> Placement | None:
-        """Return a server with a free slot in any of the zones; None: there is none."""
-        # A full zone may have promised its next turn to this caller: then each is asked.
-        has_turns = self._rates.excludes_any(self._servers.usable(entry.service))
+        """Return a server with a free slot in any of the zones, or None."""
+        # A full zone may have scheduled a retry of this caller: then no zone is skipped.
+        has_scheduled_retries = self._rates.excludes_any(self._servers.usable(entry.service))
         for zone in zones:
-            if not has_turns and self._is_full(entry.service, zone):
+            if not has_scheduled_retries and self._is_full(entry.service, zone):
                 continue
             placement = await self._ask_in(entry, zone, may_wait=False)
             if placement is not None:
@@ -172,13 +174,13 @@
         return full is not None and self._clock.now() < full.until_s
 
     def _wait_s(self, service: str, zone: str) -> float:
-        """Return how long a request is likely to wait in a zone, as its broker said last."""
+        """Return how long a request is expected to wait in a zone, from its broker's last reply."""
         full = self._full_zones.get((service, zone))
         wait_s = 0.0 if full is None else full.wait_s
         return wait_s if zone == self._zone else wait_s + OTHER_ZONE_PENALTY_S
 
     async def _ask_in(self, entry: WaitingRequest, zone: str, may_wait: bool) -> Placement | None:
-        """Return what the broker of a zone says; None: no slot there, or no broker answers."""
+        """Request a slot from the broker of a zone; None: no slot there, or no broker answers."""
         broker = self._selector.broker(entry.service, zone)
         request = self._request(entry, zone, may_wait)
         if broker is None or request is None:
@@ -197,7 +199,7 @@
         return None
 
     def _request(self, entry: WaitingRequest, zone: str, may_wait: bool) -> SlotRequest | None:
-        """Return the request for a slot; None: its time is up."""
+        """Return the request for a slot, or None if the time for it has passed."""
         now_s = self._clock.now()
         if now_s >= entry.limit_s:
             return None
@@ -217,8 +219,7 @@
         )
 
     def _caller_mark(self, entry: WaitingRequest) -> int:
-        """Return what tells the tries of a request, where turns may be promised; 0: they are
-        not."""
+        """Return a hash that identifies retries of the same request; 0 if none are scheduled."""
         content = entry.content
         if content is None or not self._rates.has_bound():
             return 0
@@ -226,8 +227,7 @@
         return xxhash.xxh64_intdigest("\0".join(parts).encode("utf-8", "surrogateescape"))
 
     def _resting_servers(self, entry: WaitingRequest) -> Sequence[str]:
-        """Return the servers that this gateway must send nothing for a while: the broker was not
-        told, and has others send there."""
+        """Return the servers that asked this gateway for a pause; the broker may not know it."""
         if not self._servers.has_resting():
             return ()
         usable = self._servers.usable(entry.service)
@@ -236,7 +236,7 @@
     def _accept_slot(
         self, entry: WaitingRequest, grant: _Grant, server_id: str
     ) -> Placement | None:
-        """Take a slot, unless this gateway knows that its server must get no new work."""
+        """Accept a slot, unless this gateway knows that its server must get no new requests."""
         server = self._servers.get(server_id)
         if server is None or not self._may_accept(entry, server):
             self._client.release(grant.broker, SlotRelease(grant.number))
--- a/indigoworks/broker/doubt_broadcaster.py
+++ b/indigoworks/broker/doubt_broadcaster.py
@@ -1,4 +1,4 @@
-"""Tells all gateways of doubts at once."""
+"""Broadcasts doubts about requests to all gateways."""
 
 import asyncio
 from collections import defaultdict
@@ -18,17 +18,17 @@
 from indigoworks.quarantine.doubt import Doubt
 
 RESEND_PAUSES_S = (0.01, 0.02)
-"""Pauses before a doubt is told once more, and once more: datagrams are lost."""
+"""Pauses before a doubt is sent again, since datagrams may be lost."""
 
 MAX_DOUBTS_PER_NOTICE = 40
-"""Doubts in one datagram, of 29 bytes each: it stays below the 1.5 KB of a packet."""
+"""Maximum doubts in a datagram: with 29 bytes each it fits in a packet of 1.5 KB."""
 
 MAX_PENDING_DOUBTS = 200
-"""Doubts that are told at one moment, of those that a cut link raises; what is beyond that is
-known here alone until a report names it."""
+"""Maximum doubts in one broadcast, as a broken link may raise many at once. The others are known
+only to this gateway until a report contains them."""
 
 MAX_SILENCE_S = 0.5
-"""Gateways that were heard within this time are asked to hand a notice on before others."""
+"""Gateways from which something was received within this time are preferred as forwarders."""
 
 SALT_BITS = 32
 
@@ -36,14 +36,15 @@
 
 
 class DoubtBroadcaster:
-    """Sends doubts to each gateway of a small group itself. In a larger one it divides the gateways
-    into as many shares as each has members, and tells one member of each, who tells the others.
+    """Sends doubts directly to each gateway of a small group, and in two hops in a large one.
 
-    Two ways take some milliseconds, reports through the hubs of a large group a tenth of a second
-    and more. A gateway sends about as many at a time as the square root of their number.
+    For two hops the gateways are divided into about as many shares as each has members, and one
+    member of each share forwards the notice to the others. A gateway thus sends about the square
+    root of their number of datagrams at a time. Two hops take some milliseconds, while reports
+    through the hubs of a large group take 0.1 s and more.
 
     :param send: sends a notice to a gateway.
-    :param on_doubt: called with each doubt that a peer tells.
+    :param on_doubt: called with each doubt received from a peer.
     """
 
     def __init__(
@@ -67,27 +68,27 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def broadcast(self, doubt: Doubt) -> None:
-        """Have all gateways told of a doubt that was raised or lifted here."""
+        """Queue a doubt that was raised or lifted here for the next broadcast."""
         if len(self._pending) < MAX_PENDING_DOUBTS:
             self._pending[doubt.number] = self._newest[doubt.number] = doubt
             self._broadcast_call.ask()
 
     def handle_notice(self, notice: DoubtNotice) -> None:
-        """Take a notice of a peer, and hand it on where that is asked."""
+        """Handle a notice of a peer, and forward it if requested."""
         for doubt in notice.doubts:
             self._on_doubt(doubt)
         if notice.shares:
-            told = replace(notice, shares=0)
+            final = replace(notice, shares=0)
             for peer in self._directory.others():
                 if _share(peer, notice) == notice.share:
-                    self._send(peer, told)
+                    self._send(peer, final)
 
     def close(self) -> None:
-        """Tell nothing more."""
+        """Cancel pending resends."""
         for task in self._tasks:
             task.cancel()
 
-    # ---- parts ----
+    # ---- helpers ----
 
     def _send_pending(self) -> None:
         doubts = tuple(self._pending.values())
@@ -100,7 +101,7 @@
     async def _resend(self, doubts: tuple[Doubt, ...]) -> None:
         for pause_s in RESEND_PAUSES_S:
             await self._clock.sleep(pause_s)
-            # One that was lifted meanwhile is told by the telling of that.
+            # A doubt that was lifted meanwhile has a broadcast of its own.
             self._send_all(tuple(each for each in doubts if self._newest.get(each.number) is each))
         for each in doubts:
             if self._newest.get(each.number) is each:
--- a/indigoworks/broker/doubt_notice.py
+++ b/indigoworks/broker/doubt_notice.py
@@ -1,4 +1,4 @@
-"""Doubts that one gateway tells others."""
+"""Doubts (unconfirmed server crashes) that a gateway announces to others."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DoubtNotice:
-    """Doubts, and to whom the receiver hands them on.
+    """Doubts, and the gateways to which the receiver forwards them.
 
-    :ivar shares: into so many shares the sender divided all gateways; 0: nobody hands it on.
-    :ivar share: that of the receiver, who tells all others in it.
-    :ivar salt: makes the division another one each time.
+    :ivar shares: number of shares into which the sender divided all gateways; 0: not forwarded.
+    :ivar share: share of the receiver, which forwards the notice to the others in it.
+    :ivar salt: random, so that every notice divides the gateways differently.
     """
 
     doubts: tuple[Doubt, ...]
--- a/indigoworks/broker/group_locks.py
+++ b/indigoworks/broker/group_locks.py
@@ -1,4 +1,4 @@
-"""Locks of suspect requests, also in a group whose members do not all hear each other."""
+"""Locks of suspect requests that also hold across a network partition."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,24 +13,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _CombinedLock:
-    """Implements `AttemptLock`: the lock of the part that this process hears, and of all parts."""
+    """Implements `AttemptLock`: the broker's lock on this side of a partition and the store's."""
 
     brokered: AttemptLock
     stored: StoredLock
     locks: StoredLocks
 
     def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
-        """Give both rights back."""
+        """Release both locks."""
         self.locks.release(self.stored, is_served, has_ended_server())
         self.brokered.release(is_served, has_ended_server)
 
 
 class GroupLocks:
-    """Implements `AttemptLocks`: brokers give locks out, and the store where a member is not heard.
+    """Implements `AttemptLocks`: by brokers, and also by the store if a member is out of reach.
 
-    In a cut each part has a broker of its own, and each of them lets a try go. Who has the lock of
-    its part asks the store for that of all parts; one write a try, whatever the number of gateways.
-    A part that hears everybody goes by the row once another one has written it.
+    In a network partition each side has a broker of its own, and each of these grants a lock. The
+    holder then also acquires a lock in the store, which all sides share: one write for an attempt,
+    whatever the number of gateways. A side that reaches all members also uses the store's lock
+    once another side has written it.
     """
 
     def __init__(self, brokered: AttemptLocks, stored: StoredLocks, cuts: CutWatch) -> None:
@@ -41,29 +42,29 @@
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
     ) -> AttemptLock | Refusal | None:
-        """Return the lock of a request, why it is not to be had, or None: nobody gives it out."""
-        of_part = await self._brokered.acquire(mark, limit_s, lease_s)
-        if of_part is None or isinstance(of_part, Refusal):
-            return of_part
+        """Return the lock of a request, why it is refused, or None if no broker grants it."""
+        brokered = await self._brokered.acquire(mark, limit_s, lease_s)
+        if brokered is None or isinstance(brokered, Refusal):
+            return brokered
         if not self._cuts.is_cut() and not self._stored.is_in_use(mark):
-            return of_part
-        stored = await self._acquire_stored(of_part, mark, limit_s, lease_s)
+            return brokered
+        stored = await self._acquire_stored(brokered, mark, limit_s, lease_s)
         if stored is None:
-            return of_part
+            return brokered
         if isinstance(stored, Refusal):
-            of_part.release(False, _nothing_ended)
+            brokered.release(False, _no_crash)
             return stored
-        return _CombinedLock(of_part, stored, self._stored)
+        return _CombinedLock(brokered, stored, self._stored)
 
     async def _acquire_stored(
-        self, of_part: AttemptLock, mark: int, limit_s: float, lease_s: float
+        self, brokered: AttemptLock, mark: int, limit_s: float, lease_s: float
     ) -> StoredLock | Refusal | None:
         try:
             return await self._stored.acquire(mark, limit_s, lease_s)
         except asyncio.CancelledError:
-            of_part.release(False, _nothing_ended)
+            brokered.release(False, _no_crash)
             raise
 
 
-def _nothing_ended() -> bool:
+def _no_crash() -> bool:
     return False
--- a/indigoworks/broker/lock_table.py
+++ b/indigoworks/broker/lock_table.py
@@ -1,4 +1,4 @@
-"""Locks of suspect requests, as a broker gives them out."""
+"""Locks of suspect requests, as granted by a broker."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,19 +11,19 @@
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 
 PAUSE_AFTER_CRASH_S = 1.1
-"""After a try under which a server ended the next one waits for so long. Ends within a second count
-once, for servers also end together for other reasons: with a try in hand at each of several servers
-that end in one second a harmful request would end many before it is refused."""
+"""Wait after an attempt that crashed a server. Crashes within one second count once, as servers
+also crash together for other reasons: a harmful request with concurrent attempts at several
+servers would crash many of them before it is refused."""
 
 CLEARED_S = 2.0
-"""After a try that was served no lock is needed for so long: gateways learn within half a second
-that the request does no harm."""
+"""Time after a served attempt for which no lock is needed: within 0.5 s the gateways know that the
+request does no harm."""
 
 MAX_LOCKS = 1000
-"""Suspect requests that are remembered; the lock of one more is free for everyone."""
+"""Maximum number of locks; further requests are granted without one."""
 
 LockName = tuple[str, int]
-"""Boot of the requester, and its number of the request."""
+"""Boot id of the requester, and its number of the request."""
 
 
 @dataclass(eq=False, slots=True)
@@ -35,10 +35,12 @@
 
 @dataclass(eq=False, slots=True)
 class _Lock:
-    """Lock of one request.
+    """Lock of a suspect request; times are clock readings.
 
-    :ivar holder: who has it; None: it is free from `free_s` on.
-    :ivar held_until_s: clock reading at which the lease of the holder ends.
+    :ivar free_s: earliest time of the next grant.
+    :ivar cleared_until_s: until then every attempt is granted.
+    :ivar holder: current holder, or None.
+    :ivar held_until_s: end of the holder's lease.
     """
 
     free_s: float
@@ -49,10 +51,10 @@
 
 
 class LockTable:
-    """Lets one try at a time of each suspect request go on, whichever gateway has it.
+    """Grants one attempt at a time of each suspect request, over all gateways.
 
-    Several tries in hand at a server that ends make one end, so that without this each of the next
-    owners would get as many again before the third end is known.
+    Concurrent attempts at a server that crashes count as one crash. Without the lock each of the
+    next owners would get as many attempts again before the third crash is known.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -61,7 +63,7 @@
         self._marks: dict[LockName, int] = {}
 
     def handle_request(self, requester: Requester, request: SlotRequest) -> None:
-        """Reply to a request for a lock, now and once more when it is free."""
+        """Reply to a request for a lock; if it must wait, again once the lock is granted."""
         now_s = self._clock.now()
         name = (requester.boot, request.number)
         mark = request.suspect_mark
@@ -79,7 +81,7 @@
             requester.send_reply(SlotReply(request.number, SlotOutcome.QUEUED))
 
     def handle_release(self, boot: str, release: SlotRelease) -> None:
-        """Take a lock back, or a request that waits for one."""
+        """Release a lock, or withdraw a request that waits for one."""
         name = (boot, release.number)
         mark = self._marks.pop(name, None)
         if mark is None:
@@ -89,14 +91,14 @@
             self._release(lock, release.is_served, release.has_ended_server)
 
     def lift(self, mark: int) -> None:
-        """Let all tries of a request go on that turned out to have ended no server."""
+        """Grant all attempts of a request that turned out not to have crashed a server."""
         lock = self._locks.get(mark)
         if lock is not None:
             lock.cleared_until_s = self._clock.now() + CLEARED_S
             self._grant_waiting(lock)
 
     def remove_expired(self) -> None:
-        """End leases and waits that are over, and forget locks that nobody needs."""
+        """End expired leases and waits, and remove unused locks."""
         now_s = self._clock.now()
         for mark, lock in list(self._locks.items()):
             if lock.holder is not None and now_s > lock.held_until_s:
@@ -133,7 +135,7 @@
         _grant(waiter.requester, waiter.request)
 
     def _refuse_late(self, lock: _Lock, is_late: Callable[[_Waiter], bool]) -> None:
-        """Refuse those who cannot have the lock while their callers wait."""
+        """Refuse the requests that cannot get the lock before their time limit."""
         for name, waiter in [each for each in lock.waiters.items() if is_late(each[1])]:
             del lock.waiters[name]
             del self._marks[name]
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -1,4 +1,4 @@
-"""What a broker counts at its servers beside the slots that it granted itself."""
+"""Load of a broker's servers beyond the slots that it has granted."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 from indigoworks.servers.server_word import ServerWord
 
 TAKEOVER_S = 0.25
-"""A process that begins to act as broker knows of no slot that another one granted: for so long
-it goes by the gateways' reports too. Most requests have ended by then, and reports, which are 0.1
-to 0.3 s old at 79 gateways, would keep slots empty that are free again."""
+"""Time for which a new broker also counts the gateways' reports, as it does not know the slots that
+its predecessor granted. Most of these requests have ended by then; used for longer, reports, which
+are 0.1 to 0.3 s old with 79 gateways, would leave free slots unused."""
 
 
 SERVER_LOAD_VALID_S = 0.2
-"""A server's word on its load counts for so long: a request or two later it says something else."""
+"""Time for which the load that a server states counts: it changes with every request or two."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,9 @@
 class ReportedLoad:
     """Implements `LoadView` for a broker.
 
-    :param reported: requests in flight by the reports of all gateways, this one included.
-    :param given: returns the slots that this broker has granted at a server.
+    :param reported: returns a server's requests in flight as reported by all gateways, this one
+        included.
+    :param granted: returns the slots that this broker has granted at a server.
     """
 
     def __init__(
@@ -47,19 +48,22 @@
         self._peer_times_s: dict[str, float | None] = {}
 
     def start_takeover(self) -> None:
-        """Take note that this process acts as broker from now on."""
+        """Count reported requests for TAKEOVER_S: this process begins to act as broker."""
         self._began_s = self._clock.now()
         self._is_taking_over = True
 
     def refresh(self) -> None:
-        """Go by the own count alone once what others granted has ended, and by new times of peers:
-        the mean over 78 of them for each server and request took a tenth of a broker's time."""
+        """End the takeover when it is due, and discard the cached service times of peers.
+
+        They are cached because averaging over 78 peers for each server and request took 10 % of a
+        broker's processor time.
+        """
         self._peer_times_s.clear()
         if self._clock.now() - self._began_s > TAKEOVER_S:
             self._is_taking_over = False
 
     def record_server_load(self, server_id: str, word: ServerWord) -> None:
-        """Take a server's word: what it has beyond the slots granted here, others have sent."""
+        """Record the load that a server stated: requests beyond granted slots come from others."""
         requests = word.running + word.waiting - self._granted(server_id)
         if requests > 0:
             self._surplus[server_id] = _Surplus(requests, self._clock.now() + SERVER_LOAD_VALID_S)
@@ -67,11 +71,11 @@
             self._surplus.pop(server_id, None)
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that left."""
+        """Remove the load of a server that is no longer listed."""
         self._surplus.pop(server_id, None)
 
     def in_flight(self, server_id: str) -> int:
-        """Return the requests in flight that have no slot of this broker, as far as they count."""
+        """Return the known requests in flight that have no slot of this broker."""
         if self._is_taking_over:
             return max(0, self._reported(server_id) - self._granted(server_id))
         surplus = self._surplus.get(server_id)
@@ -80,7 +84,7 @@
         return surplus.requests
 
     def service_s(self, server_id: str) -> float | None:
-        """Return the seconds that a request takes at a server as peers measured it; None: none."""
+        """Return the service time measured by peers, in seconds, or None if there is none."""
         if server_id not in self._peer_times_s:
             self._peer_times_s[server_id] = self._peers.service_s(server_id)
         return self._peer_times_s[server_id]
--- a/indigoworks/broker/requester.py
+++ b/indigoworks/broker/requester.py
@@ -1,4 +1,4 @@
-"""A gateway that asks a broker for slots."""
+"""A gateway that requests slots or locks from a broker."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Requester:
-    """One boot of a gateway.
+    """One gateway process, identified by its boot id.
 
-    :ivar reply: sends it a reply.
+    :ivar send_reply: sends it a reply.
     """
 
     boot: str
--- a/indigoworks/broker/reservation.py
+++ b/indigoworks/broker/reservation.py
@@ -1,4 +1,4 @@
-"""A request that a broker has taken, and the slot that it was granted."""
+"""A request that a broker has accepted, and the slot granted to it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,11 +14,11 @@
 class Reservation:
     """One request from its arrival until its slot is released.
 
-    :ivar until_s: clock reading at which it ends in any case.
-    :ivar reply: what its asker was told last; repeated when it asks again.
+    :ivar until_s: clock reading at which it expires.
+    :ivar reply: the last reply, which is sent again for a duplicate request.
     :ivar task: waits for the slot.
-    :ivar server: whose slot is granted; None: none is yet.
-    :ivar started: when the slot was granted, for its measurement.
+    :ivar server: server of the granted slot; None before the grant.
+    :ivar started: measurement that began with the grant.
     """
 
     queue: BrokerQueue
--- a/indigoworks/broker/slot_broker.py
+++ b/indigoworks/broker/slot_broker.py
@@ -1,4 +1,4 @@
-"""Grants slots at servers to all gateways that ask."""
+"""Grants server slots to all gateways that request them."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 from indigoworks.gateway.waiting_request import WaitingRequest
 
 EXPIRY_INTERVAL_S = 0.1
-"""Time between two looks for reservations whose time is over."""
+"""Interval between checks for expired reservations."""
 
 LEASE_MARGIN_S = 0.1
-"""A slot is kept so much longer than its request may last: the release is on its way."""
+"""Extra time for which a slot is reserved after its lease, for the release to arrive."""
 
 IDLE_S = 1.0
-"""A broker that was not asked for so long takes over anew when it is asked again."""
+"""A broker that was idle for longer starts a new takeover with the next request."""
 
 
 class SlotBroker:
-    """Holds the one queue for the servers of a zone, and knows exactly what it has granted.
+    """Holds one queue for the servers of each zone, and counts exactly what it has granted.
 
-    A request that comes again under the same number gets the same reply: datagrams are lost. A
-    slot is free again with its release, with the end of its lease, or when its requester withdraws.
+    Datagrams may be lost, so a duplicate request, which has the same number, gets the last reply
+    again. A slot is freed by its release, at the end of its lease, or if the request is withdrawn.
 
     :param make_queue: returns a new queue for the servers of a zone.
-    :ivar is_stopping: set when the process is about to end: requests are declined from then on.
+    :ivar is_stopping: set before the process stops; new requests are then declined.
     """
 
     def __init__(self, make_queue: Callable[[str], BrokerQueue], clock: Clock) -> None:
@@ -47,7 +47,7 @@
         self.is_stopping = False
 
     def handle_request(self, requester: Requester, request: SlotRequest) -> None:
-        """Reply to a request, now and perhaps once more when a slot is free."""
+        """Reply to a request; if it is queued, again once it is placed or refused."""
         self._record_activity()
         name = (requester.boot, request.number)
         known = self._reservations.get(name)
@@ -74,7 +74,7 @@
         reservation.task = asyncio.ensure_future(self._wait(requester, reservation))
 
     def handle_release(self, boot: str, release: SlotRelease) -> None:
-        """Take a slot back, or a request that still waits for one."""
+        """Release a slot or lock, or withdraw a request that waits for one."""
         reservation = self._reservations.pop((boot, release.number), None)
         if reservation is None:
             self._locks.handle_release(boot, release)
@@ -84,20 +84,20 @@
         self._end(reservation, release.is_served)
 
     def servers_changed(self) -> None:
-        """Look at all that waits."""
+        """Retry placing the queued requests after a change of the servers."""
         for each in self._queues.values():
             each.servers_changed()
 
     def lift_lock(self, mark: int) -> None:
-        """Let all tries of a request go on: the doubts about it are lifted."""
+        """Grant all attempts of a request after the doubts about it were lifted."""
         self._locks.lift(mark)
 
     def reservation_count(self) -> int:
-        """Return the requests that wait or have a slot."""
+        """Return the number of requests that are queued or hold a slot."""
         return len(self._reservations)
 
     async def run(self) -> None:
-        """End reservations whose time is over; until cancelled."""
+        """Remove expired reservations and locks, until cancelled."""
         while True:
             await self._clock.sleep(EXPIRY_INTERVAL_S)
             now_s = self._clock.now()
@@ -108,7 +108,7 @@
             for queue in self._queues.values():
                 queue.refresh()
 
-    # ---- parts ----
+    # ---- helpers ----
 
     def _record_activity(self) -> None:
         now_s = self._clock.now()
@@ -147,13 +147,13 @@
     def _send_placement(
         self, requester: Requester, reservation: Reservation, placement: Placement
     ) -> None:
-        """Tell the requester of a request what came of it."""
+        """Record the placement of a request and send it to the requester."""
         number = reservation.reply.number
         if isinstance(placement, Refusal):
             self._reservations.pop((requester.boot, number), None)
             requester.send_reply(SlotReply(number, SlotOutcome.REFUSED, refusal=placement))
             return
-        # In the same step as its placement: from here on the slot counts at its server.
+        # In the event-loop iteration of the placement: the slot counts from now on.
         reservation.server = placement
         reservation.started = reservation.queue.server_stats.start(placement)
         reservation.reply = SlotReply(number, SlotOutcome.GRANTED, placement.server_id)
--- a/indigoworks/broker/slot_release.py
+++ b/indigoworks/broker/slot_release.py
@@ -1,4 +1,4 @@
-"""A slot that is given back."""
+"""Release of a slot, sent to its broker."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRelease:
-    """The slot of the request `number` is free, or that request is withdrawn.
+    """Releases the slot or lock of the request `number`, or withdraws that request.
 
-    :ivar is_served: the server worked on the caller's request and answered.
-    :ivar word: what the server said of its load with the answer; None: nothing.
-    :ivar has_ended_server: the server ended while it had the request in hand.
-    :ivar is_unreached: no connection to the server came about.
+    :ivar is_served: the server ran the caller's request and answered.
+    :ivar word: load that the server stated with the answer, or None.
+    :ivar has_ended_server: the server crashed while it ran the request.
+    :ivar is_unreached: connecting to the server failed.
     """
 
     number: int
--- a/indigoworks/broker/slot_reply.py
+++ b/indigoworks/broker/slot_reply.py
@@ -7,26 +7,25 @@
 
 
 class SlotOutcome(Enum):
-    """What a broker says to a request."""
+    """Result of a request to a broker."""
 
     GRANTED = "granted"
     QUEUED = "queued"
-    """The request waits; another reply follows."""
+    """The request is queued; another reply follows."""
     FULL = "full"
-    """No slot is free, and the request may not wait."""
+    """No slot is free, and the request may not be queued."""
     REFUSED = "refused"
     DECLINED = "declined"
-    """The broker stops: ask another one."""
+    """The broker is stopping; the requester should use another one."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlotReply:
     """Reply to the request `number`.
 
-    :ivar server_id: whose slot is granted; empty: none is.
-    :ivar wait_s: seconds until a slot is likely to be free, where none is and the request may not
-        wait.
-    :ivar refusal: why the caller's request cannot be served in time; None unless it is refused.
+    :ivar server_id: server of the granted slot; empty if none is granted.
+    :ivar wait_s: with FULL, estimated seconds until a slot is free.
+    :ivar refusal: why the caller's request cannot be served in time; None unless REFUSED.
     """
 
     number: int
--- a/indigoworks/broker/slot_request.py
+++ b/indigoworks/broker/slot_request.py
@@ -1,22 +1,22 @@
-"""A request for a slot at a server of a service in a zone."""
+"""Request for a server slot, sent to a broker."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What a gateway asks a broker for; times count from the moment of sending, in seconds.
+    """Request of a gateway for a slot or a lock; durations in seconds, from the time of sending.
 
-    :ivar number: unique within one boot of the asker; a repeat has the same.
-    :ivar zone: of the servers that are meant.
+    :ivar number: unique within one boot of the requester; duplicates have the same number.
+    :ivar zone: zone of the servers.
     :ivar limit_s: time within which the caller's request must be answered.
-    :ivar lease_s: time after which the slot is free again in any case.
-    :ivar may_wait: wait for a slot; else only a free one is wanted.
-    :ivar tried: servers that the caller's request must not go to again.
-    :ivar caller_mark: tells the tries of one request from others; 0: unknown.
-    :ivar suspect_mark: of a request under which a server ended: its lock is wanted, and no slot; 0:
-        a slot is.
-    :ivar key: number of the key where only its owner can answer; None: any server can.
+    :ivar lease_s: time after which the slot is freed without a release.
+    :ivar may_wait: queue the request if no slot is free.
+    :ivar tried: ids of servers that the caller's request must not be sent to.
+    :ivar caller_mark: hash that identifies retries of the same request; 0: unknown.
+    :ivar suspect_mark: mark of a suspect request, whose lock is requested instead of a slot; 0: a
+        slot is requested.
+    :ivar key: number of the key if only its owner can answer; None: any server can.
     """
 
     number: int
--- a/indigoworks/broker/stored_lock.py
+++ b/indigoworks/broker/stored_lock.py
@@ -1,4 +1,4 @@
-"""What the store keeps of the lock of a suspect request."""
+"""Row of the store that holds the lock of a suspect request."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredLock:
-    """Who may send the next try, over all parts of a group whose members do not hear each other.
+    """Lock of a suspect request, shared by all sides of a network partition.
 
-    :ivar boot: of the gateway that wrote this.
-    :ivar number: of its lock, so that it knows its own writes.
-    :ivar mark: of the request.
-    :ivar until_ms: reading of the store's steady clock, in milliseconds, until which it holds.
-    :ivar is_open: a try was served: until then every try may go on; else none but the holder's.
+    :ivar boot: boot id of the gateway that wrote it.
+    :ivar number: number that this gateway gave to it, to recognize its own writes.
+    :ivar mark: short mark of the request.
+    :ivar until_ms: expiry, as a reading of the store's steady clock in milliseconds.
+    :ivar is_open: an attempt was served: until then all attempts may go on, not only the holder's.
     """
 
     boot: str
@@ -26,7 +26,7 @@
 
 
 def encode_lock(lock: StoredLock) -> bytes:
-    """Return the value of a row."""
+    """Return the lock encoded as the value of a row."""
     return StoredLockMessage(
         boot=lock.boot,
         number=lock.number,
@@ -37,7 +37,7 @@
 
 
 def decode_lock(value: bytes) -> StoredLock | None:
-    """Return what the value of a row says; None where it says nothing that can be read."""
+    """Return the lock decoded from the value of a row, or None if it is invalid."""
     message = StoredLockMessage()
     try:
         message.ParseFromString(value)
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -19,37 +19,38 @@
 from indigoworks.rowstore.transaction import ABSENT, ExpectedVersion, RowPut
 
 ROW_PREFIX = "try-lock/"
-"""Keys of these rows, before the number of the row."""
+"""Prefix of the keys of these rows; the row number follows."""
 
 ROWS = 64
-"""Rows that there may be. Requests whose marks fall on the same one wait for each other."""
+"""Number of rows. Requests whose marks map to the same row wait for each other."""
 
 POLL_INTERVAL_S = 0.02
-"""Pause between two looks at a row that another gateway holds."""
+"""Interval of checks of a row that another gateway holds."""
 
 RELEASE_RETRY_S = 0.1
-"""Pause after a release that the store did not take."""
+"""Pause after a failed write of a release."""
 
 FEED_WAIT_S = 0.5
-"""After a write that another gateway's outran, that one's is waited for so long."""
+"""After a conflicting write, longest wait for that write to arrive in the followed rows."""
 
 STORE_LOST_S = 1.0
-"""A store that has not answered for so long is not asked for locks."""
+"""A store that has not answered for longer is not used for locks."""
 
 REUSE_S = 0.06
-"""The lock of a try that went nowhere is kept so long: its request looks for the next server."""
+"""Delay before the release of a lock whose attempt was neither served nor crashed a server: the
+request can reuse it for the attempt at the next server."""
 
 LEASE_TOLERANCE_MS = 200
-"""A kept lock is written again where its lease is shorter than needed by more than this."""
+"""A lock is only reused if its lease is at most this much shorter than needed."""
 
 EXPIRED_MS = 1
-"""Reading of the store's clock that has passed long since."""
+"""Value of `until_ms` for a lock that is free."""
 
 MAX_RELEASE_WRITES = 5
-"""So often a release is written; where none arrives the lock ends with its lease."""
+"""Attempts to write a release; if all fail, the lock ends with its lease."""
 
 IN_USE_S = 3.0
-"""A row that ended so recently tells that another part of the group goes by it."""
+"""A row that expired less than this ago shows that another side of a partition uses it."""
 
 MS_PER_S = 1000.0
 
@@ -62,19 +63,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _Conflict:
-    """A write that failed on its condition: the version it expected, and when."""
+    """A write whose condition failed: the version that it expected, and when it failed."""
 
     version: StoreVersion
     at_s: float
 
 
 class StoredLocks:
-    """One lock for each suspect request, by conditional writes of whoever wants to send a try.
+    """One lock for each suspect request, acquired by conditional writes to a row.
 
-    Members that do not hear each other are told apart from those that have ended by the store
-    alone: all who are in touch reach it. A lock costs a write, its release another.
+    Only the store can exclude members on other sides of a partition: every member that is still
+    serving reaches it. A lock costs one write, and its release another.
 
-    :param boot: of this process.
+    :param boot: boot id of this process.
     """
 
     def __init__(
@@ -94,7 +95,7 @@
         group.eras.on_new(self._rows.clear)
 
     def apply_rows(self, rows: Iterable[Row]) -> None:
-        """Take rows of the group; those of other kinds are passed over."""
+        """Update the known locks from changed rows of the group; other rows are ignored."""
         for row in rows:
             is_current = row.version.era == self._group.eras.current
             if row.key.startswith(ROW_PREFIX) and is_current:
@@ -103,7 +104,7 @@
                 )
 
     def is_in_use(self, mark: int) -> bool:
-        """Tell whether another gateway goes by the row of a request."""
+        """Tell whether another gateway uses the row of a request."""
         lock = self._stored(mark)
         if lock is None or lock.boot == self._boot:
             return False
@@ -112,15 +113,14 @@
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
     ) -> StoredLock | Refusal | None:
-        """Return the lock of a request, why it is not to be had by `limit_s`, or None: the store
-        is not reached."""
+        """Return the lock of a request, a refusal at `limit_s`, or None if the store is lost."""
         self._number += 1
         number = self._number
         while not self._is_store_lost():
-            kept = self._pop_reusable(mark)
-            if kept is not None and self._is_long_enough(kept, lease_s):
-                return kept
-            lock = self._in_force(mark) if kept is None else None
+            reusable = self._pop_reusable(mark)
+            if reusable is not None and self._is_long_enough(reusable, lease_s):
+                return reusable
+            lock = self._in_force(mark) if reusable is None else None
             if lock is None and not self._awaits_conflicting_row(mark):
                 lock = await self._try_to_write(mark, number, lease_s)
             if lock is not None and (lock.is_open or self._is_own(lock, number)):
@@ -135,35 +135,35 @@
         return None
 
     def release(self, lock: StoredLock, is_served: bool, has_ended_server: bool) -> None:
-        """Write what came of a try; where that fails, the lock ends with its lease."""
+        """Release a lock after an attempt; if the write fails, the lock ends with its lease."""
         if lock.is_open:
             return
         until_ms = EXPIRED_MS
         if has_ended_server or is_served:
             until_ms = self._store_ms_in(CLEARED_S if is_served else PAUSE_AFTER_CRASH_S)
         ended = replace(lock, until_ms=until_ms, is_open=is_served)
-        is_kept = until_ms == EXPIRED_MS
-        if is_kept:
+        is_reusable = until_ms == EXPIRED_MS
+        if is_reusable:
             self._reusable[lock.mark] = lock
-        task = asyncio.ensure_future(self._write_release(ended, REUSE_S if is_kept else 0.0))
+        task = asyncio.ensure_future(self._write_release(ended, REUSE_S if is_reusable else 0.0))
         self._releases.add(task)
         task.add_done_callback(self._releases.discard)
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel pending releases."""
         for task in self._releases:
             task.cancel()
 
-    # ---- parts ----
+    # ---- helpers ----
 
     def _stored(self, mark: int) -> StoredLock | None:
         known = self._rows.get(_key(mark))
         return None if known is None else known.lock
 
     def _in_force(self, mark: int) -> StoredLock | None:
-        """Return the lock that the row of a request holds; None: it is free.
+        """Return the unexpired lock in the row of a request, or None.
 
-        A row that another request has is not open to this one.
+        If another request shares the row, its lock does not allow attempts of this one.
         """
         lock = self._stored(mark)
         if lock is None or self._health.is_past(lock.until_ms):
@@ -171,15 +171,15 @@
         return lock if lock.mark == mark else replace(lock, is_open=False)
 
     def _pop_reusable(self, mark: int) -> StoredLock | None:
-        """Return the lock that the last try of a request left here; None: there is none."""
-        kept = self._reusable.pop(mark, None)
-        return kept if kept is not None and self._stored(mark) == kept else None
+        """Remove and return the reusable lock of the request's last attempt, or None."""
+        reusable = self._reusable.pop(mark, None)
+        return reusable if reusable is not None and self._stored(mark) == reusable else None
 
     def _is_long_enough(self, lock: StoredLock, lease_s: float) -> bool:
         return lock.until_ms >= self._store_ms_in(lease_s) - LEASE_TOLERANCE_MS
 
     def _awaits_conflicting_row(self, mark: int) -> bool:
-        """Tell whether another gateway has written the row, and its write has not come yet."""
+        """Tell whether another gateway has written the row, and that write has not arrived yet."""
         outrun = self._conflicts.get(_key(mark))
         if outrun is None or self._clock.now() > outrun.at_s + FEED_WAIT_S:
             return False
@@ -190,19 +190,18 @@
         return (lock.boot, lock.number) == (self._boot, number)
 
     def _is_store_lost(self) -> bool:
-        """Tell whether this process is out of touch: no rule binds it then, and its callers are not
-        to wait for the store."""
+        """Tell whether this process has lost the store: callers then do not wait for locks."""
         since_s = self._unreached_since_s
         unreached_s = 0.0 if since_s is None else self._clock.now() - since_s
         return max(unreached_s, self._health.lost_for_s()) > STORE_LOST_S
 
     async def _try_to_write(self, mark: int, number: int, lease_s: float) -> StoredLock | None:
-        """Write a lock where the row is free; None: that did not come about, as far as is known."""
+        """Write a lock to a free row; None if the write failed or its result is unknown."""
         lock = StoredLock(self._boot, number, mark, self._store_ms_in(lease_s))
         return lock if await self._write(lock) else None
 
     async def _write_release(self, lock: StoredLock, after_s: float) -> None:
-        """Write the end of a lock, unless it is kept and taken again before `after_s` is over."""
+        """Write the end of a lock after `after_s`, unless it is reused before."""
         if after_s:
             await self._clock.sleep(after_s)
             if self._reusable.pop(lock.mark, None) is None:
@@ -216,7 +215,7 @@
             await self._clock.sleep(RELEASE_RETRY_S)
 
     async def _write(self, lock: StoredLock) -> bool:
-        """Write a row under the condition that it is as it is known here."""
+        """Write a row on condition that it has its last known version."""
         key = _key(lock.mark)
         known = self._rows.get(key)
         expected = ExpectedVersion(CONTROL_TABLE, key, ABSENT if known is None else known.version)
--- a/indigoworks/broker/unreachable_servers.py
+++ b/indigoworks/broker/unreachable_servers.py
@@ -1,21 +1,21 @@
-"""Servers that gateways could not connect to, as a broker is told."""
+"""Servers that several gateways report as unreachable."""
 
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.server_stats import ServerStats
 
 MIN_REPORTERS = 2
-"""So many gateways must have failed to reach a server before it gets no work: one may be cut off
-itself, and would take every server away from all others."""
+"""Number of gateways that must report a server as unreachable before it is excluded: otherwise a
+gateway that is itself isolated would exclude every server for all others."""
 
 REPORT_VALID_S = 1.0
-"""What a gateway said counts for so long."""
+"""Time for which a report counts."""
 
-REST_S = 0.5
-"""A server that cannot be reached gets no work for so long; then it is tried again."""
+EXCLUSION_S = 0.5
+"""Time for which an unreachable server gets no requests; then it is tried again."""
 
 
 class UnreachableServers:
-    """Takes servers out of use for a while on the word of several gateways."""
+    """Excludes servers for a while if several gateways could not connect to them."""
 
     def __init__(self, server_stats: ServerStats, clock: Clock) -> None:
         self._server_stats = server_stats
@@ -24,22 +24,22 @@
         self._until_s: dict[str, float] = {}
 
     def record_failure(self, server_id: str, reporter: str) -> None:
-        """Take note that a gateway could not connect to a server."""
+        """Record that a gateway could not connect to a server."""
         now_s = self._clock.now()
-        tellers = self._reports.setdefault(server_id, {})
-        tellers[reporter] = now_s
-        recent = [each for each, at_s in tellers.items() if now_s - at_s <= REPORT_VALID_S]
+        reports = self._reports.setdefault(server_id, {})
+        reports[reporter] = now_s
+        recent = [each for each, at_s in reports.items() if now_s - at_s <= REPORT_VALID_S]
         if len(recent) >= MIN_REPORTERS:
             self._server_stats.set_down(server_id, True)
-            self._until_s[server_id] = now_s + REST_S
+            self._until_s[server_id] = now_s + EXCLUSION_S
 
     def restore_rested(self) -> None:
-        """Use those again that have rested long enough, and forget what was told long ago."""
+        """Restore servers whose exclusion has ended, and remove old reports."""
         now_s = self._clock.now()
         for server_id in [each for each, until_s in self._until_s.items() if until_s <= now_s]:
             del self._until_s[server_id]
             self._reports.pop(server_id, None)
             self._server_stats.set_down(server_id, False)
-        for server_id, tellers in list(self._reports.items()):
-            if all(now_s - at_s > REPORT_VALID_S for at_s in tellers.values()):
+        for server_id, reports in list(self._reports.items()):
+            if all(now_s - at_s > REPORT_VALID_S for at_s in reports.values()):
                 del self._reports[server_id]
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -1,4 +1,4 @@
-"""The servers of one zone, as a part of the list of servers."""
+"""View of the server list that is limited to one zone."""
 
 from collections.abc import Iterable
 
@@ -8,8 +8,8 @@
 from indigoworks.servers.server_source import ServerSource
 
 CACHE_S = 0.02
-"""The usable servers are listed anew so often, and at once when the list has changed: a look at
-each of 30 for each request took 0.1 of its 0.37 ms of processor time at a broker."""
+"""Time for which the usable servers are cached, unless the list changes. Checking each of 30
+servers for every request took 0.1 of the 0.37 ms of processor time that a broker needed for it."""
 
 
 class ZoneServers:
@@ -22,7 +22,7 @@
         self._usable: dict[str, tuple[float, list[ServerRecord]]] = {}
 
     def usable(self, service: str) -> Iterable[ServerRecord]:
-        """Return the servers of `service` in the zone that may get new work."""
+        """Return the servers of `service` in the zone that may get new requests."""
         now_s = self._clock.now()
         known = self._usable.get(service)
         if known is not None and now_s < known[0]:
@@ -32,15 +32,15 @@
         return usable
 
     def clear_cache(self) -> None:
-        """Look at the list of servers anew: it has changed."""
+        """Discard the cached servers after a change of the list."""
         self._usable.clear()
 
     def known(self, service: str) -> Iterable[ServerRecord]:
-        """Return the servers of `service` that are listed or were so a short time ago."""
+        """Return the servers of `service` that are or recently were listed."""
         return self._servers.known(service)
 
     def get(self, server_id: str) -> ServerRecord | None:
-        """Return a server that is listed or was so a short time ago, of any zone."""
+        """Return a server of any zone that is or recently was listed, else None."""
         return self._servers.get(server_id)
 
     def is_listed(self, server_id: str) -> bool:
@@ -48,11 +48,11 @@
         return self._servers.is_listed(server_id)
 
     def is_usable(self, server_id: str) -> bool:
-        """Tell whether the server may get new work."""
+        """Tell whether the server may get new requests."""
         return self._servers.is_usable(server_id)
 
     def is_cold(self, server_id: str) -> bool:
-        """Tell whether a server bears few requests a second for a while."""
+        """Tell whether a server has just started and can handle few requests a second."""
         return self._servers.is_cold(server_id)
 
     def may_serve_own_keys(self, server_id: str) -> bool:
@@ -60,20 +60,19 @@
         return self._servers.may_serve_own_keys(server_id)
 
     def has_resting(self) -> bool:
-        """Tell whether any server may rest: a quick look that spares the one at each server."""
+        """Tell whether any server may have asked for a pause: avoids checking each server."""
         return self._servers.has_resting()
 
     def rest_left_s(self, server_id: str) -> float:
-        """Return 0: a wish for rest is told to one gateway, and each that asks for a slot names the
-        servers that it must not get."""
+        """Return 0: servers ask single gateways for a pause, which name them in their requests."""
         return 0.0
 
     def rest_left_s_for_many(self, server_id: str) -> float:
-        """Return for how much longer several gateways are asked for rest by a server."""
+        """Return the remaining seconds of a pause that a server asked several gateways for."""
         return self._servers.rest_left_s_for_many(server_id)
 
     def limit_per_s(self, server_id: str) -> float | None:
-        """Return the requests a second that are passed on to a server; None: all."""
+        """Return the rate limit of a server in requests a second, or None."""
         return self._servers.limit_per_s(server_id)
 
     def is_gone(self, server_id: str) -> bool:
@@ -81,5 +80,5 @@
         return self._servers.is_gone(server_id)
 
     def note_replaced(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
-        """Take note that another server answers at the address of `server_id`."""
+        """Record that another server answers at the address of `server_id`."""
         self._servers.note_replaced(server_id, by_server_id, sign)
