--- a/indigoworks/broker/__init__.py
+++ b/indigoworks/broker/__init__.py
@@ -1,3 +1,5 @@
-"""Brokers: for each service and zone one gateway grants server slots to all gateways, so that it
-alone knows how many requests a server has.
+"""Brokers: one gateway for each service and zone, which grants server slots to all gateways.
+
+As all requests to a server pass through one count, its slots and its rate limit are kept. Brokers
+also grant the locks of suspect requests.
 """
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -41,20 +41,20 @@
         tables: OwnershipTables,
         peers: LoadView,
         reported: Callable[[str], int],
-        rate_budget: ServerRateLimiter,
+        rate_limiter: ServerRateLimiter,
         clock: Clock,
         random: Random,
     ) -> None:
         self._servers = servers
-        self._rates = rate_budget
+        self._rate_limiter = rate_limiter
         self.load = ReportedLoad(reported, peers, self._granted, clock)
         self.server_stats = ServerStats(self.load, clock)
         self.unreachable = UnreachableServers(self.server_stats, clock)
         self._zone_servers = ZoneServers(zone, servers, clock)
         self._selector = ServerSelector(
-            self._zone_servers, self.server_stats, rate_budget, zone, random
+            self._zone_servers, self.server_stats, rate_limiter, zone, random
         )
-        self._capacity = CapacityTracker(self.server_stats, rate_budget, _limit)
+        self._capacity = CapacityTracker(self.server_stats, rate_limiter, _limit)
         owners = OwnerLookup(tables, self._zone_servers, self.server_stats, clock)
         self.queue = DispatchQueue(
             self._selector, owners, self.server_stats, self._capacity, clock, counts_all=True
@@ -110,8 +110,8 @@
         for server_id in self.server_stats.known_servers():
             if self._servers.get(server_id) is None:
                 self.server_stats.forget(server_id)
-                self.load.forget(server_id)
-                self._rates.forget(server_id)
+                self.load.remove(server_id)
+                self._rate_limiter.forget(server_id)
 
     def _granted(self, server_id: str) -> int:
         return self.server_stats.own_in_flight_at(server_id)
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that use brokers, and act as one."""
+"""The parts of a gateway that request slots from brokers, and act as a broker."""
 
 from dataclasses import replace
 from random import Random
@@ -91,11 +91,11 @@
         self.client.close()
         self._port.close()
 
-    # ---- parts ----
+    # ---- helpers ----
 
     def _make_queue(self, zone: str) -> BrokerQueue:
         servers = self._platform.servers
-        rate_budget = ServerRateLimiter(
+        rate_limiter = ServerRateLimiter(
             servers.cold,
             servers.notices.limits,
             self._platform.is_keyed,
@@ -109,7 +109,7 @@
             self._tables,
             self._peers,
             self._server_stats.in_flight,
-            rate_budget,
+            rate_limiter,
             self._clock,
             self._random,
         )
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -69,7 +69,7 @@
     :param zone: zone of this process.
     :param local: places requests from this gateway's own data.
     :param directory: the group, which is small or large.
-    :param rates: knows which servers have a rate limit.
+    :param rate_limiter: knows which servers have a rate limit.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         servers: ServerSource,
         owners: OwnerLookup,
         directory: PeerDirectory,
-        rates: ServerRateLimiter,
+        rate_limiter: ServerRateLimiter,
         clock: Clock,
     ) -> None:
         self._zone = zone
@@ -91,7 +91,7 @@
         self._servers = servers
         self._owners = owners
         self._directory = directory
-        self._rates = rates
+        self._rate_limiter = rate_limiter
         self._clock = clock
         self._grants: dict[WaitingRequest, _Grant] = {}
         self._full_zones: dict[tuple[str, str], _FullZone] = {}
@@ -136,10 +136,10 @@
         """Return the zones whose brokers may place a request, the preferred one first."""
         if entry.key is not None:
             return self._zone_of_owner(entry.service, entry.key)
-        if not self._directory.has_many() and not self._rates.has_bound():
+        if not self._directory.has_many() and not self._rate_limiter.has_bound():
             return ()
         usable = self._servers.usable(entry.service)
-        if not self._directory.has_many() and not self._rates.excludes_any(usable):
+        if not self._directory.has_many() and not self._rate_limiter.excludes_any(usable):
             return ()
         zones = {each.zone for each in usable if not self._servers.rest_left_s(each.server_id)}
         others = sorted(zones - {self._zone})
@@ -147,20 +147,20 @@
 
     def _zone_of_owner(self, service: str, key: int) -> Sequence[str]:
         """Return the zone of the key's owner if that has a rate limit, else nothing."""
-        if not self._rates.has_bound():
+        if not self._rate_limiter.has_bound():
             return ()
         owner = self._owners.find(service, key)
         server = owner.server
         if owner.state is not OwnerState.READY or server is None:
             return ()
-        return (server.zone,) if self._rates.excludes(server) else ()
+        return (server.zone,) if self._rate_limiter.excludes(server) else ()
 
     async def _find_free_slot(
         self, entry: WaitingRequest, zones: Sequence[str]
     ) -> Placement | None:
         """Return a server with a free slot in any of the zones, or None."""
         # A full zone may have scheduled a retry of this caller: then no zone is skipped.
-        has_scheduled_retries = self._rates.excludes_any(self._servers.usable(entry.service))
+        has_scheduled_retries = self._rate_limiter.excludes_any(self._servers.usable(entry.service))
         for zone in zones:
             if not has_scheduled_retries and self._is_full(entry.service, zone):
                 continue
@@ -221,7 +221,7 @@
     def _caller_mark(self, entry: WaitingRequest) -> int:
         """Return a hash that identifies retries of the same request; 0 if none are scheduled."""
         content = entry.content
-        if content is None or not self._rates.has_bound():
+        if content is None or not self._rate_limiter.has_bound():
             return 0
         parts = (content.caller, content.method, content.host, content.target)
         return xxhash.xxh64_intdigest("\0".join(parts).encode("utf-8", "surrogateescape"))
--- a/indigoworks/broker/lock_table.py
+++ b/indigoworks/broker/lock_table.py
@@ -1,4 +1,7 @@
-"""Locks of suspect requests, as granted by a broker."""
+"""Locks of suspect requests, as granted by a broker.
+
+A suspect request is one during which a server crashed or may have crashed.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Surplus:
+class _ExternalLoad:
     requests: int
     until_s: float
 
@@ -42,14 +42,14 @@
         self._peers = peers
         self._granted = granted
         self._clock = clock
-        self._began_s = clock.now()
+        self._takeover_began_s = clock.now()
         self._is_taking_over = True
-        self._surplus: dict[str, _Surplus] = {}
+        self._external: dict[str, _ExternalLoad] = {}
         self._peer_times_s: dict[str, float | None] = {}
 
     def start_takeover(self) -> None:
         """Count reported requests for TAKEOVER_S: this process begins to act as broker."""
-        self._began_s = self._clock.now()
+        self._takeover_began_s = self._clock.now()
         self._is_taking_over = True
 
     def refresh(self) -> None:
@@ -59,29 +59,31 @@
         broker's processor time.
         """
         self._peer_times_s.clear()
-        if self._clock.now() - self._began_s > TAKEOVER_S:
+        if self._clock.now() - self._takeover_began_s > TAKEOVER_S:
             self._is_taking_over = False
 
     def record_server_load(self, server_id: str, word: ServerWord) -> None:
         """Record the load that a server stated: requests beyond granted slots come from others."""
         requests = word.running + word.waiting - self._granted(server_id)
         if requests > 0:
-            self._surplus[server_id] = _Surplus(requests, self._clock.now() + SERVER_LOAD_VALID_S)
+            self._external[server_id] = _ExternalLoad(
+                requests, self._clock.now() + SERVER_LOAD_VALID_S
+            )
         else:
-            self._surplus.pop(server_id, None)
+            self._external.pop(server_id, None)
 
-    def forget(self, server_id: str) -> None:
+    def remove(self, server_id: str) -> None:
         """Remove the load of a server that is no longer listed."""
-        self._surplus.pop(server_id, None)
+        self._external.pop(server_id, None)
 
     def in_flight(self, server_id: str) -> int:
         """Return the known requests in flight that have no slot of this broker."""
         if self._is_taking_over:
             return max(0, self._reported(server_id) - self._granted(server_id))
-        surplus = self._surplus.get(server_id)
-        if surplus is None or self._clock.now() >= surplus.until_s:
+        external = self._external.get(server_id)
+        if external is None or self._clock.now() >= external.until_s:
             return 0
-        return surplus.requests
+        return external.requests
 
     def service_s(self, server_id: str) -> float | None:
         """Return the service time measured by peers, in seconds, or None if there is none."""
--- a/indigoworks/broker/slot_reply.py
+++ b/indigoworks/broker/slot_reply.py
@@ -7,7 +7,7 @@
 
 
 class SlotOutcome(Enum):
-    """Result of a request to a broker."""
+    """A broker's answer to a request."""
 
     GRANTED = "granted"
     QUEUED = "queued"
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -44,7 +44,7 @@
 """A lock is only reused if its lease is at most this much shorter than needed."""
 
 EXPIRED_MS = 1
-"""Value of `until_ms` for a lock that is free."""
+"""Value of `until_ms` for a free lock: a reading long past on the store's clock."""
 
 MAX_RELEASE_WRITES = 5
 """Attempts to write a release; if all fail, the lock ends with its lease."""
@@ -72,8 +72,9 @@
 class StoredLocks:
     """One lock for each suspect request, acquired by conditional writes to a row.
 
-    Only the store can exclude members on other sides of a partition: every member that is still
-    serving reaches it. A lock costs one write, and its release another.
+    A member that is not heard has ended or is on another side of a partition; the store serves for
+    both cases, as every member that is in touch reaches it. A lock costs one write, and its release
+    another.
 
     :param boot: boot id of this process.
     """
@@ -190,7 +191,7 @@
         return (lock.boot, lock.number) == (self._boot, number)
 
     def _is_store_lost(self) -> bool:
-        """Tell whether this process has lost the store: callers then do not wait for locks."""
+        """Tell whether this process has lost the store: then no lock binds it or delays callers."""
         since_s = self._unreached_since_s
         unreached_s = 0.0 if since_s is None else self._clock.now() - since_s
         return max(unreached_s, self._health.lost_for_s()) > STORE_LOST_S
