--- a/features/steps/backend_load_steps.py
+++ b/features/steps/backend_load_steps.py
@@ -8,7 +8,7 @@
 import detangle
 from behave import given, then, when
 
-from indigoworks.backend.http_answer import HttpAnswer
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.common.clock import LoopClock
 from indigoworks_lab.backend.answer_body import AnswerBody
 from indigoworks_lab.load import router_target
@@ -111,7 +111,7 @@
     context.outcome = router_target._outcome(context.request, router_answer(context.request, body))
 
 
-def router_answer(request: LoadRequest, body: str) -> HttpAnswer:
+def router_answer(request: LoadRequest, body: str) -> HttpResponse:
     own = AnswerBody(
         server="server-1",
         incarnation="run-1",
@@ -127,16 +127,16 @@
     whole = own.model_dump_json().encode()
     completed = (("Indigoworks-Outcome", "completed"),)
     return {
-        "its own whole answer": HttpAnswer(200, completed, whole),
-        "half of its answer": HttpAnswer(200, completed, whole[: len(whole) // 2]),
-        "the answer of another key": HttpAnswer(
+        "its own whole answer": HttpResponse(200, completed, whole),
+        "half of its answer": HttpResponse(200, completed, whole[: len(whole) // 2]),
+        "the answer of another key": HttpResponse(
             200, completed, own.model_copy(update={"key": "key-2"}).model_dump_json().encode()
         ),
-        "the answer of another id": HttpAnswer(
+        "the answer of another id": HttpResponse(
             200, completed, own.model_copy(update={"request_id": "2"}).model_dump_json().encode()
         ),
-        "a not-run outcome": HttpAnswer(503, (("Indigoworks-Outcome", "not-run"),), b"{}"),
-        "an unknown outcome": HttpAnswer(504, (("Indigoworks-Outcome", "unknown"),), b"{}"),
+        "a not-run outcome": HttpResponse(503, (("Indigoworks-Outcome", "not-run"),), b"{}"),
+        "an unknown outcome": HttpResponse(504, (("Indigoworks-Outcome", "unknown"),), b"{}"),
     }[body]
 
 
--- a/features/steps/control_log_broken_rules.py
+++ b/features/steps/control_log_broken_rules.py
@@ -7,8 +7,8 @@
 
 from indigoworks.controllog.control_log_node import ControlLogNode
 from indigoworks.controllog.leader_follower import LeaderFollower
+from indigoworks.controllog.leader_lease_monitor import LeaderLeaseMonitor
 from indigoworks.controllog.leader_tenure import LeaderTenure
-from indigoworks.controllog.leader_watch import LeaderWatch
 from indigoworks.controllog.log_rows import LogRows
 from indigoworks.platform.errors import VersionConflict
 from indigoworks.platform.row_write import RowWrite
@@ -60,7 +60,7 @@
 
 BROKEN_RULES: dict[str, list[tuple[Any, str, Callable[..., Any]]]] = {
     "a challenger does not wait for the end of the lease": [
-        (LeaderWatch, "has_lapsed", lambda *_: True)
+        (LeaderLeaseMonitor, "has_lapsed", lambda *_: True)
     ],
     "a leader acts on past its lease": [
         (LeaderTenure, "is_running", lambda tenure: not tenure._is_over)
--- a/features/steps/gateway_broker_message_steps.py
+++ b/features/steps/gateway_broker_message_steps.py
@@ -13,7 +13,7 @@
 from indigoworks.broker.slot_reply import SlotOutcome, SlotReply
 from indigoworks.broker.slot_request import SlotRequest
 from indigoworks.gateway.refusal import Refusal, RefusalReason
-from indigoworks.servers.server_word import ServerWord
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 
 
 @then("a slot request, a reply, a refusal and a return come back as they were sent")
@@ -25,7 +25,7 @@
         SlotReply(7, SlotOutcome.GRANTED, "s3"),
         SlotReply(7, SlotOutcome.QUEUED),
         SlotReply(7, SlotOutcome.REFUSED, refusal=refusal),
-        SlotRelease(7, True, ServerWord(3, 1, 3, 2.5)),
+        SlotRelease(7, True, SelfReportedLoad(3, 1, 3, 2.5)),
         SlotRelease(7, is_unreached=True),
     )
     for content in contents:
@@ -40,7 +40,7 @@
     "and pace {pace:g}"
 )
 def step_word(context, text, running, waiting, slots, pace):
-    assert read_server_word(text) == ServerWord(running, waiting, slots, pace)
+    assert read_server_word(text) == SelfReportedLoad(running, waiting, slots, pace)
 
 
 @then('a server\'s word "{text}" says nothing')
--- a/features/steps/gateway_burst_steps.py
+++ b/features/steps/gateway_burst_steps.py
@@ -6,7 +6,7 @@
 from store_versions import at
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.hub_choice import HubChoice
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PEER_PREFIX, PeerDirectory, encode_peer
 from indigoworks.exchange.peer_report import PeerReport
@@ -38,7 +38,7 @@
         self.got = Counter()
         self.sequence = 0
         table = PeerTable(clock, OWN)
-        choice = HubChoice(OWN, ZONES[0], 1.0, directory, table, lambda: OWN, clock)
+        choice = HubSelector(OWN, ZONES[0], 1.0, directory, table, lambda: OWN, clock)
         source = ReportSource(self.report, lambda: False, lambda report: None, lambda: OWN)
         self.sender = ReportSender(ZONES[0], directory, table, choice, source, self.send)
 
--- a/features/steps/gateway_challenge_steps.py
+++ b/features/steps/gateway_challenge_steps.py
@@ -46,7 +46,7 @@
     def hear(self, nodes, sequence):
         for node in nodes:
             if node != self.name:
-                self.peers.note(PeerReport(node, "b", sequence, 0, 0.0, None, (), (), 0))
+                self.peers.record_report(PeerReport(node, "b", sequence, 0, 0.0, None, (), (), 0))
 
     def waits(self, lost):
         return [self.order.wait_s(lost) for _ in range(DRAWS)]
--- a/features/steps/gateway_choked_link_world.py
+++ b/features/steps/gateway_choked_link_world.py
@@ -37,28 +37,32 @@
     def queued_s(self):
         return max(0.0, self.busy_until_s - asyncio.get_running_loop().time())
 
-    async def carry(self, count, piece_came=lambda: None):
+    async def carry(self, count, chunk_received=lambda: None):
         while count > 0:
             packet = min(count, WINDOW_BYTES)
             self.queue(packet)
             await asyncio.sleep(self.queued_s())
-            piece_came()
+            chunk_received()
             count -= packet
 
 
 class Limit:
     """The limit of one exchange, moved on while its answer comes."""
 
-    def __init__(self, timeout, silence_s, whole_s):
-        self.timeout, self.silence_s, self.whole_s = timeout, silence_s, whole_s
+    def __init__(self, timeout, idle_timeout_s, total_timeout_s):
+        self.timeout, self.idle_timeout_s, self.total_timeout_s = (
+            timeout,
+            idle_timeout_s,
+            total_timeout_s,
+        )
         self.latest_s = float("inf")
 
-    def headers_came(self):
-        self.latest_s = asyncio.get_running_loop().time() + self.whole_s
-        self.piece_came()
+    def headers_received(self):
+        self.latest_s = asyncio.get_running_loop().time() + self.total_timeout_s
+        self.chunk_received()
 
-    def piece_came(self):
-        silent_s = asyncio.get_running_loop().time() + self.silence_s
+    def chunk_received(self):
+        silent_s = asyncio.get_running_loop().time() + self.idle_timeout_s
         self.timeout.reschedule(min(silent_s, self.latest_s))
 
 
@@ -86,13 +90,13 @@
                     await asyncio.Event().wait()
                 limit = Limit(timeout, STORE_SILENCE_S, STORE_WHOLE_S)
                 await self.link.carry(HEADERS_BYTES)
-                limit.headers_came()
-                true_at_s = self.health.note_answer(asked_s, made_s)
+                limit.headers_received()
+                true_at_s = self.health.record_response(asked_s, made_s)
                 encoded = sum(len(base64.b64encode(each.value)) for each in answer)
-                await self.link.carry(encoded, limit.piece_came)
+                await self.link.carry(encoded, limit.chunk_received)
                 return Ok(Rows(answer, at(version), true_at_s))
         except TimeoutError:
-            self.health.note_trouble("follow", "lost")
+            self.health.record_trouble("follow", "lost")
             return Err(StoreUnreachable("", ""))
 
 
@@ -104,13 +108,13 @@
         query = build().path.partition("?")[2]
         try:
             async with asyncio.timeout(timeout_s) as timeout:
-                answer = await relay.relay.server.answer(query)
+                answer = await relay.relay.server.respond(query)
                 await self.link.carry(HEADERS_BYTES)
-                limit = Limit(timeout, limits.silence_s, limits.whole_s)
-                limit.headers_came()
+                limit = Limit(timeout, limits.idle_timeout_s, limits.total_timeout_s)
+                limit.headers_received()
                 headers_s = asyncio.get_running_loop().time()
                 relay.link.queue(len(answer.body))
-                await self.link.carry(len(answer.body), limit.piece_came)
+                await self.link.carry(len(answer.body), limit.chunk_received)
                 return Ok(replace(answer, headers_s=headers_s))
         except TimeoutError:
             return Err(BackendAnswerLost("", ""))
--- a/features/steps/gateway_cold_server_steps.py
+++ b/features/steps/gateway_cold_server_steps.py
@@ -42,7 +42,7 @@
     context.cold = ColdServers(ZoneEvacuations(clock), clock)
     context.cold.set_limits({"shop": ColdLimit(COLD_S, rate)})
     context.cold_server = make_record("s1", Address(HOST, 1))
-    context.cold.note_told("s1", COLD_S)
+    context.cold.record_reported("s1", COLD_S)
     context.cold_budgets = [make_rate_budget(clock, context.cold) for _ in range(count)]
     context.cold_members = [range(count)] * count
 
@@ -129,7 +129,7 @@
 
 @when("that server has become warm")
 def step_warm(context):
-    context.cold.note_told("s1", 0.0)
+    context.cold.record_reported("s1", 0.0)
 
 
 @then("each of these gateways may send to it")
@@ -169,7 +169,7 @@
     world.servers.cold.set_limits({SERVICE: ColdLimit(COLD_S, 1.0)})
 
     async def change():
-        world.servers.cold.note_told(cold, COLD_S)
+        world.servers.cold.record_reported(cold, COLD_S)
         world.list_server(new, 40)
 
     context.run_async(change())
--- a/features/steps/gateway_control_world.py
+++ b/features/steps/gateway_control_world.py
@@ -58,7 +58,7 @@
 
     def answer(self, rows):
         now_s = self.clock.now()
-        true_at_s = self.health.note_answer(now_s, now_s)
+        true_at_s = self.health.record_response(now_s, now_s)
         return Ok(Rows(tuple(rows), at(self.version), true_at_s))
 
     async def read(self, table, part):
--- a/features/steps/gateway_drawn_server_steps.py
+++ b/features/steps/gateway_drawn_server_steps.py
@@ -79,7 +79,7 @@
     )
     for number in range(count):
         peers = PeerTable(clock)
-        assert peers.note(PeerReport("n2", "b", 1, 0, 0.0, None, loads, (), 0))
+        assert peers.record_report(PeerReport("n2", "b", 1, 0, 0.0, None, loads, (), 0))
         board = ServerStats(peers, clock)
         random = Random(f"{context.seed} {number}")
         choice = ServerSelector(
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -15,7 +15,7 @@
 from store_versions import at
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.lag_watch import LagWatch
+from indigoworks.exchange.lag_monitor import LagMonitor
 from indigoworks.gateway.platform_subsystem import PlatformSubsystem
 from indigoworks.rowstore.errors import HistoryGone
 from indigoworks.rowstore.row import Row
@@ -99,7 +99,7 @@
 def start(context):
     clock, store = context.evacuation_clock, context.evacuation_store
     health = context.evacuation_health = StoreHealth(clock)
-    health.eras.note(store.era)
+    health.eras.record_era(store.era)
     ports = make_ports(
         health,
         store=store,
@@ -157,7 +157,7 @@
 def step_come_back(context, zone):
     def act():
         context.evacuation_store.come_back_without(f"evacuate/{zone}")
-        context.evacuation_health.eras.note(context.evacuation_store.era)
+        context.evacuation_health.eras.record_era(context.evacuation_store.era)
 
     change(context, act)
 
@@ -192,11 +192,11 @@
 @when("a peer says for {duration_s:g} s that it has applied the row")
 def step_peer_says(context, duration_s):
     side, clock = context.evacuation_side, context.evacuation_clock
-    watch = LagWatch("operator", side.operator_position, side.followers[0].ask_anew, clock)
+    watch = LagMonitor("operator", side.operator_position, side.followers[0].request_reread, clock)
 
     async def say():
         for _ in range(round(duration_s / REPORT_S)):
-            watch.note("n2", at(context.evacuation_store.version))
+            watch.record_version("n2", at(context.evacuation_store.version))
             await clock.advance(REPORT_S)
 
     context.run_async(say())
--- a/features/steps/gateway_exchange_steps.py
+++ b/features/steps/gateway_exchange_steps.py
@@ -140,7 +140,7 @@
             counts = {each: random.randint(0, 9) for each in random.sample("abc", 2)}
             known = newest.get(node)
             is_new = known is None or known[0] != boot or known[1] < sequence
-            assert table.note(report(node, boot, sequence, counts)) == is_new
+            assert table.record_report(report(node, boot, sequence, counts)) == is_new
             if is_new:
                 newest[node], heard_s[node] = (boot, sequence, counts), clock.now()
             table.drop_silent()
@@ -164,7 +164,7 @@
     "under sequence {sequence:d}"
 )
 def peer_reports(context, node, boot, count, server_id, sequence):
-    context.gateway_table.note(report(node, boot, sequence, {server_id: count}))
+    context.gateway_table.record_report(report(node, boot, sequence, {server_id: count}))
 
 
 @then('the gateway peer table holds {count:d} in flight at "{server_id}" from {peers:d} peer')
@@ -189,7 +189,7 @@
 def samples(context):
     table = PeerTable(ManualClock())
     made = [KeySample("shop", (key,), 1) for key in range(peer_table.MAX_SAMPLES + 5)]
-    table.note(replace(report("p", "x", 1, {}), samples=tuple(made[:10])))
+    table.record_report(replace(report("p", "x", 1, {}), samples=tuple(made[:10])))
     table.add_samples(made[10:])
     assert table.drain_samples() == made[5:]
     assert table.drain_samples() == []
--- a/features/steps/gateway_group_world.py
+++ b/features/steps/gateway_group_world.py
@@ -114,7 +114,7 @@
         for _ in range(in_flight):
             board.start(next(iter(self.servers.records.values())))
         report = PeerReport("n2", "b", number, 0, float("inf"), None, board.loads(), (), 0)
-        assert self.peers.note(report)
+        assert self.peers.record_report(report)
 
     def make_entry(self, group, key, priority, aim_s):
         now_s = self.clock.now()
--- a/features/steps/gateway_hub_world.py
+++ b/features/steps/gateway_hub_world.py
@@ -7,7 +7,7 @@
 from store_versions import at
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.hub_choice import HubChoice
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.key_sample import KeySample
 from indigoworks.exchange.leader_beat import LeaderBeat
 from indigoworks.exchange.peer_address import PeerAddress
@@ -48,7 +48,7 @@
         self.directory = PeerDirectory(name)
         self.signs = LeaderLiveness(self.table, self.directory, world.clock)
         self.address = Address(name, 1)
-        self.choice = HubChoice(
+        self.choice = HubSelector(
             name, zone, capacity, self.directory, self.table, self.leader_node, world.clock
         )
         source = ReportSource(self.make, lambda: True, self.signs.record_report, self.leader_node)
@@ -82,7 +82,7 @@
         if self.is_frozen:
             self.held.append(datagram)
         else:
-            self.sender.take(datagram)
+            self.sender.handle_datagram(datagram)
 
     def tick(self):
         if self.world.nodes.get(self.name) is not self:
@@ -95,7 +95,7 @@
         self.is_frozen = False
         held, self.held = self.held, []
         for each in held:
-            self.sender.take(each)
+            self.sender.handle_datagram(each)
 
 
 class HubWorld:
--- a/features/steps/gateway_lag_steps.py
+++ b/features/steps/gateway_lag_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from indigoworks.exchange.lag_watch import LagWatch
+from indigoworks.exchange.lag_monitor import LagMonitor
 
 STEP_S = 0.1
 
@@ -21,7 +21,7 @@
 def step_watch(context, version):
     context.lag_clock = SteppedClock()
     context.lag_asked = []
-    context.lag_watch = LagWatch(
+    context.lag_monitor = LagMonitor(
         "group", lambda: version, lambda: context.lag_asked.append(1), context.lag_clock
     )
 
@@ -30,7 +30,7 @@
 def step_says(context, version, duration_s):
     for _ in range(round(duration_s / STEP_S)):
         context.lag_clock.at_s += STEP_S
-        context.lag_watch.note("gw-2", version)
+        context.lag_monitor.record_version("gw-2", version)
 
 
 @then("the gateway feed was asked anew {count:d} times")
--- a/features/steps/gateway_lagging_feed_steps.py
+++ b/features/steps/gateway_lagging_feed_steps.py
@@ -7,7 +7,7 @@
 from store_versions import at
 
 from indigoworks.common.clock import LoopClock
-from indigoworks.exchange.lag_watch import LagWatch
+from indigoworks.exchange.lag_monitor import LagMonitor
 from indigoworks.rowstore.errors import EraEnded, StoreRefused
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.rows import Rows
@@ -74,11 +74,13 @@
     clock = StepsClock()
     asked = []
 
-    def ask_anew():
+    def request_reread():
         asked.append(clock.at_s)
-        context.lagging_feed.ask_anew()
+        context.lagging_feed.request_reread()
 
-    watch = LagWatch("configuration", lambda: max(context.lagging_versions), ask_anew, clock)
+    watch = LagMonitor(
+        "configuration", lambda: max(context.lagging_versions), request_reread, clock
+    )
 
     async def run():
         following = asyncio.ensure_future(context.lagging_feed.run())
@@ -91,7 +93,7 @@
                 before = len(asked)
                 while len(asked) == before:
                     clock.at_s += 0.1
-                    watch.note("gw-2", context.lagging_store.newest)
+                    watch.record_version("gw-2", context.lagging_store.newest)
                 await settle()
         following.cancel()
 
@@ -151,7 +153,7 @@
 def step_doubted(context, times):
     async def doubt():
         for _ in range(times):
-            context.doubted_feed.ask_anew()
+            context.doubted_feed.request_reread()
             await settle()
 
     context.run_async(doubt())
--- a/features/steps/gateway_limit_placement_steps.py
+++ b/features/steps/gateway_limit_placement_steps.py
@@ -111,7 +111,7 @@
     def tell(self, per_s):
         """A peer tells that it has just heard the server's word."""
         record = self.world.servers.get(LIMITED)
-        self.world.servers.notices.limits.take_told(record, LimitWord(per_s, 0.0))
+        self.world.servers.notices.limits.record_from_peer(record, LimitWord(per_s, 0.0))
 
     async def tell_for(self, per_s, for_s):
         for _ in range(round(for_s)):
--- a/features/steps/gateway_log_bound_steps.py
+++ b/features/steps/gateway_log_bound_steps.py
@@ -276,7 +276,7 @@
 
 @when("the gateway's store fails before its first answer")
 def store_fails(context):
-    StoreHealth(ManualClock()).note_trouble("/call", "refused")
+    StoreHealth(ManualClock()).record_trouble("/call", "refused")
 
 
 @then("the gateway line on its loss is JSON")
--- a/features/steps/gateway_metrics_steps.py
+++ b/features/steps/gateway_metrics_steps.py
@@ -161,7 +161,7 @@
     async def note():
         for number in range(count):
             report = PeerReport(f"p{number}", "b", 1, 0, 0.0, None, (), (), 0)
-            context.gateway_process.gateway._peers.note(report)
+            context.gateway_process.gateway._peers.record_report(report)
 
     context.run_async(note())
 
--- a/features/steps/gateway_owner_bound_steps.py
+++ b/features/steps/gateway_owner_bound_steps.py
@@ -48,12 +48,12 @@
 def step_late_answer(context):
     clock = ManualClock()
     health = StoreHealth(clock)
-    health.note_answer(clock.now(), 0.0)
+    health.record_response(clock.now(), 0.0)
     clock._now_s += 1.0
-    health.note_answer(clock.now(), 11.0)
+    health.record_response(clock.now(), 11.0)
     sent_s, made_s = clock.now(), clock.now() + 0.1
     clock._now_s += LATE_S
-    late_s = health.note_answer(sent_s, 11.1) - made_s
+    late_s = health.record_response(sent_s, 11.1) - made_s
     assert late_s <= 1e-6, late_s
 
 
@@ -111,8 +111,8 @@
     world = ProofWorld("a")
     world.name_leader(4, "n2", "boot-9")
     world.clock._now_s += 60.0
-    world.health.note_answer(world.clock.now(), world.clock.now())
-    world.health.eras.note(1)
+    world.health.record_response(world.clock.now(), world.clock.now())
+    world.health.eras.record_era(1)
     assert not world.leadership.knows_former_era(0)
 
 
--- a/features/steps/gateway_owner_lines_steps.py
+++ b/features/steps/gateway_owner_lines_steps.py
@@ -20,7 +20,7 @@
 from indigoworks.ownership.log_throttle import LINE_PERIOD_S
 from indigoworks.ownership.order_outcome import OrderOutcome, OrderResult
 from indigoworks.rowstore.store_version import NO_VERSION
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 
 LONGER_THAN_LEASE_S = 7.0
 
@@ -54,7 +54,7 @@
 @given("the gateway owner lines readings of the store's clock jump by {jump_s:d} s")
 def step_jump(context, jump_s):
     now_s = context.owners.clock.now()
-    context.owners.health.note_answer(now_s, now_s + jump_s)
+    context.owners.health.record_response(now_s, now_s + jump_s)
 
 
 @given('"a" has left {count:d} gateway owner lines grants unanswered')
@@ -125,7 +125,7 @@
         world.list_at_address_of_a("c")
     else:
         by = context.replaced_by = "" if answer == "an answer without an id" else "c"
-        world.servers.note_replaced("a", by, ReplacementSign.ORDER)
+        world.servers.record_replaced("a", by, ReplacementEvidence.ORDER)
     context.run_async(world.pass_on())
 
 
--- a/features/steps/gateway_owner_lines_world.py
+++ b/features/steps/gateway_owner_lines_world.py
@@ -49,7 +49,7 @@
         self.is_ruling_out = True
         for number, name in enumerate("ab"):
             self.list_server(name, number + 1)
-        self.health.note_answer(self.clock.now(), self.clock.now())
+        self.health.record_response(self.clock.now(), self.clock.now())
         self.name_leader(LeaderRow(EPOCH, "n1", "boot-2", NO_VERSION), 10)
         self.prove()
         self.bounds.start_epoch(float("-inf"))
--- a/features/steps/gateway_owner_proof_world.py
+++ b/features/steps/gateway_owner_proof_world.py
@@ -33,7 +33,7 @@
 
     def answer(self, rows):
         now_s = self.clock.now()
-        true_at_s = self.health.note_answer(now_s, now_s + self.shift_s)
+        true_at_s = self.health.record_response(now_s, now_s + self.shift_s)
         return Ok(Rows(tuple(rows), at(self.version, self.era), true_at_s))
 
     async def read(self, table, part):
@@ -57,7 +57,7 @@
     def begin(self, era):
         """Come back from a copy that holds all rows."""
         self.former, self.rows = list(self.rows.values()), {}
-        self.health.eras.note(era)
+        self.health.eras.record_era(era)
 
 
 class ProofWorld(ControlWorld):
@@ -88,7 +88,7 @@
         """Have an answer of the store come in, with all rows."""
         rows = self.store.answer(self.store.rows.values()).unwrap()
         self.take_rows(rows.rows)
-        self.leadership.record_proof(rows.true_at_s)
+        self.leadership.record_proof(rows.as_of_s)
 
     async def lead(self, predecessor=NO_LEADER):
         self.leading = asyncio.ensure_future(self.make_leader().run(predecessor))
@@ -113,5 +113,5 @@
         if hold_s is not None:
             leader = LeaderBeat(epoch, **{"proof_age_s": 0.0, "pending": (), **beat}, hold_s=hold_s)
         report = PeerReport("n2", boot, sequence, epoch, 0.0, leader, (), (), 0)
-        if self.peers.note(report, age_s):
+        if self.peers.record_report(report, age_s):
             self.leadership.liveness.record_report(report)
--- a/features/steps/gateway_pace_steps.py
+++ b/features/steps/gateway_pace_steps.py
@@ -9,7 +9,7 @@
 
 from indigoworks.exchange import report_pace
 from indigoworks.exchange.peer_table import LIVE_S
-from indigoworks.exchange.report_pace import ReportPace, ReportReach
+from indigoworks.exchange.report_pace import ReportPace, ReportScope
 from indigoworks.relay.relayed_store import RelayedStore
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.rows import Rows
@@ -74,7 +74,7 @@
         now_s += pace.period_s(peers)
         count += 1
         reach = pace.decide(peers, bool(news_every) and count % news_every == 0)
-        if reach is not ReportReach.NONE:
+        if reach is not ReportScope.NONE:
             sent.append((now_s, reach))
     return sent
 
@@ -90,7 +90,7 @@
 def step_live(context):
     for peers in (0, 1, 16, 40, 70, 300, 3000):
         for news_every in (0, 1, 2, 3, 7):
-            far = [at_s for at_s, reach in reports(peers, news_every) if reach is ReportReach.ALL]
+            far = [at_s for at_s, reach in reports(peers, news_every) if reach is ReportScope.ALL]
             gaps = [later - earlier for earlier, later in pairwise(far)]
             assert max(gaps) <= 0.65 * LIVE_S, (peers, news_every, max(gaps))
 
--- a/features/steps/gateway_paced_feed_steps.py
+++ b/features/steps/gateway_paced_feed_steps.py
@@ -73,7 +73,7 @@
 @when("the paced gateway feed is doubted in its pause")
 def step_doubted_in_pause(context):
     async def doubt():
-        context.paced_feed.ask_anew()
+        context.paced_feed.request_reread()
         await context.paced_clock.advance(0.0)
 
     context.paced_calls_before = len(context.paced_store.calls)
--- a/features/steps/gateway_quarantine_row_steps.py
+++ b/features/steps/gateway_quarantine_row_steps.py
@@ -34,7 +34,7 @@
     async def make():
         clock = context.row_clock = ManualClock()
         health = context.row_health = StoreHealth(clock)
-        health.eras.note(0)
+        health.eras.record_era(0)
         context.row_store = WrittenRows()
         context.row_quarantine = Quarantine(clock)
         rows = QuarantineRows(
@@ -69,7 +69,7 @@
 def step_comes_back(context):
     async def run():
         context.row_store.parts.clear()
-        context.row_health.eras.note(1)
+        context.row_health.eras.record_era(1)
         await context.row_clock.advance(ENDS_S)
 
     context.run_async(run())
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -12,15 +12,15 @@
 from indigoworks.common.address import Address
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory, encode_peer
-from indigoworks.relay import feed_history, relay_choice
-from indigoworks.relay.feed_answer import FeedAnswer
-from indigoworks.relay.feed_answer_codec import (
+from indigoworks.relay import feed_history, relay_selector
+from indigoworks.relay.feed_history import FeedHistory
+from indigoworks.relay.feed_response import FeedResponse
+from indigoworks.relay.feed_response_codec import (
     COMPRESSED_BYTES,
-    decode_feed_answer,
-    encode_feed_answer,
+    decode_feed_response,
+    encode_feed_response,
 )
-from indigoworks.relay.feed_history import FeedHistory
-from indigoworks.relay.relay_choice import MIN_LINK_MBIT, RelayChoice, relay_capacity
+from indigoworks.relay.relay_selector import MIN_LINK_MBIT, RelaySelector, relay_capacity
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 from indigoworks_lab.simulation.core.manual_clock import ManualClock
@@ -45,7 +45,7 @@
 )
 AGES_S = strategies.floats(0, 10**6) | strategies.just(float("inf"))
 ANSWERS = strategies.builds(
-    FeedAnswer,
+    FeedResponse,
     rows=strategies.lists(ROWS, max_size=4).map(tuple),
     version=VERSIONS,
     proof_age_s=AGES_S,
@@ -60,7 +60,7 @@
 def codec(context):
     @for_all(ANSWERS, strategies.binary(max_size=30))
     def check(answer, noise):
-        decoded = decode_feed_answer(encode_feed_answer(answer))
+        decoded = decode_feed_response(encode_feed_response(answer))
         assert answer.proof_age_s <= decoded.proof_age_s
         assert answer.trouble_age_s <= decoded.trouble_age_s
         for each in ("proof_age_s", "trouble_age_s"):
@@ -68,8 +68,8 @@
             assert came == known or came - known < 0.002, (came, known)
         same = replace(decoded, proof_age_s=0.0, trouble_age_s=0.0)
         assert same == replace(answer, proof_age_s=0.0, trouble_age_s=0.0)
-        garbled = decode_feed_answer(noise)
-        assert garbled is None or isinstance(garbled, FeedAnswer)
+        garbled = decode_feed_response(noise)
+        assert garbled is None or isinstance(garbled, FeedResponse)
 
     check()
 
@@ -168,7 +168,7 @@
     context.relay_peers = HeardPeers()
     context.relay_leader = ""
     context.relay_lost_for_s = 0.0
-    context.relay_choice = RelayChoice(
+    context.relay_selector = RelaySelector(
         node,
         zone,
         capacity,
@@ -205,27 +205,27 @@
 
 @when("gateway relay time passes the time for which a relay counts as heard")
 def step_silent(context):
-    context.relay_clock._now_s += relay_choice.HEARD_S + 0.01
+    context.relay_clock._now_s += relay_selector.HEARD_S + 0.01
 
 
 @when("gateway relay time passes the time for which a failed relay is left alone")
 def step_later(context):
-    context.relay_clock._now_s += relay_choice.FAILED_S + 0.01
+    context.relay_clock._now_s += relay_selector.FAILED_S + 0.01
 
 
 @when('gateway "a" finds that "{node}" failed')
 def step_failed(context, node):
-    context.relay_choice.note_failure(node)
+    context.relay_selector.record_failure(node)
 
 
 @when('gateway "a" hears from "{node}" that it asks another gateway')
 def step_asks_another(context, node):
-    context.relay_choice.note_asks_another(node)
+    context.relay_selector.record_unavailable(node)
 
 
 @when("gateway relay time passes the moment for which such a gateway is left alone")
 def step_moment(context):
-    context.relay_clock._now_s += relay_choice.ASKS_ANOTHER_S + 0.01
+    context.relay_clock._now_s += relay_selector.ASKS_ANOTHER_S + 0.01
 
 
 @when('the store has left gateway "a" without an answer for {time_s:g} s')
@@ -235,12 +235,12 @@
 
 @then('gateway "a" asks the store')
 def step_asks_store(context):
-    assert context.relay_choice.relay() is None
+    assert context.relay_selector.relay() is None
 
 
 @then('gateway "a" asks gateway "{node}"')
 def step_asks(context, node):
-    assert context.relay_choice.relay().node == node, context.relay_choice.relay()
+    assert context.relay_selector.relay().node == node, context.relay_selector.relay()
 
 
 @then("gateway relay: a machine offers its cores as relay unless its link is slow")
--- a/features/steps/gateway_relay_world.py
+++ b/features/steps/gateway_relay_world.py
@@ -12,7 +12,7 @@
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory, encode_peer
 from indigoworks.relay.feed_server import FeedServer
-from indigoworks.relay.relay_choice import RelayChoice
+from indigoworks.relay.relay_selector import RelaySelector
 from indigoworks.relay.relayed_store import RelayedStore
 from indigoworks.rowstore.errors import HistoryGone
 from indigoworks.rowstore.row import Row
@@ -89,7 +89,7 @@
     async def follow(self, table, after, wait_s):
         await self.store.note_asker(self.node)
         if after.era != self.store.era:
-            self.health.eras.note(self.store.era)
+            self.health.eras.record_era(self.store.era)
             return Err(HistoryGone("No such version.", "Read the table whole."))
         while not self.store.after(after) or self.is_silent:
             await self.store.changed.wait()
@@ -98,8 +98,8 @@
 
     def _answer(self, rows):
         now_s = self.clock.now()
-        self.health.eras.note(self.store.era)
-        self.health.note_answer(now_s, now_s)
+        self.health.eras.record_era(self.store.era)
+        self.health.record_response(now_s, now_s)
         return Rows(tuple(rows), self.store.newest(), now_s)
 
 
@@ -112,7 +112,7 @@
         self.health = StoreHealth(self.clock)
         self.directory = PeerDirectory(node)
         self.peers = HeardPeers()
-        self.choice = RelayChoice(
+        self.choice = RelaySelector(
             node,
             ZONE,
             capacity,
@@ -171,7 +171,7 @@
         while True:
             if not self.relay.port.is_silent:
                 now_s = self.relay.clock.now()
-                self.relay.health.note_answer(now_s, now_s)
+                self.relay.health.record_response(now_s, now_s)
             await asyncio.sleep(0.02)
 
     async def _follow(self, gateway):
@@ -184,7 +184,7 @@
 
     async def let_serve(self, member):
         """Let a member follow the store itself, as after its relay failed, and serve others."""
-        member.choice.note_failure(self.relay.node)
+        member.choice.record_failure(self.relay.node)
         member.server.start()
         self.served.append(member)
         self.store.askers.clear()
--- a/features/steps/gateway_relay_world_steps.py
+++ b/features/steps/gateway_relay_world_steps.py
@@ -56,9 +56,9 @@
     relay = context.relay_world.relay
 
     async def run():
-        relay.health.note_trouble("feed", "test")
+        relay.health.record_trouble("feed", "test")
         # It was answered again since: a relay that is not hands its askers back to the store.
-        relay.health.note_answer(relay.clock.now(), relay.clock.now())
+        relay.health.record_response(relay.clock.now(), relay.clock.now())
         relay.clock.shift_s += age_s
 
     context.run_async(bounded(run()))
@@ -125,7 +125,7 @@
 @then('member "a" knows the rows as of at least {age_s:g} s before it asked')
 def step_as_of(context, age_s):
     assert "a" not in context.relay_world.store.askers
-    assert context.relay_answer.true_at_s <= context.relay_asked_s - age_s + 0.02
+    assert context.relay_answer.as_of_s <= context.relay_asked_s - age_s + 0.02
 
 
 @when('member "a" follows from version {version:d} for {wait_s:g} s and a row changes')
--- a/features/steps/gateway_repeat_steps.py
+++ b/features/steps/gateway_repeat_steps.py
@@ -112,7 +112,7 @@
         clock = ManualClock()
         peers, directory = PeerTable(clock), PeerDirectory("own")
         for number in range(heard):
-            peers.note(PeerReport(f"p{number}", "b", 1, 0, 0.0, None, (), (), 0))
+            peers.record_report(PeerReport(f"p{number}", "b", 1, 0, 0.0, None, (), (), 0))
         directory.apply([peer_row(f"p{number}") for number in range(listed)])
         allowance = LocalRetryBudget(0.5, WINDOW_S, slack, peers, directory, clock)
         # Peers that were heard once go on counting when they fall silent.
--- a/features/steps/gateway_rest_control_steps.py
+++ b/features/steps/gateway_rest_control_steps.py
@@ -9,7 +9,7 @@
 from gateway_world import make_rate_budget, make_record
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.hub_sums import sum_up
+from indigoworks.exchange.hub_aggregation import aggregate_reports
 from indigoworks.exchange.key_sample import KeySample
 from indigoworks.exchange.peer_report import AgedReport, PeerReport, node_checksum
 from indigoworks.exchange.peer_table import PeerTable
@@ -42,7 +42,7 @@
         sequence = 0
         while True:
             sequence += 1
-            world.peers.note(report("n2", sequence))
+            world.peers.record_report(report("n2", sequence))
             await asyncio.sleep(PEER_PERIOD_S)
 
     async def start():
@@ -60,9 +60,9 @@
             await until(lambda name=name: world.orders.granted(name))
         context.control_versions = world.tables.table(SERVICE).version
         for name in names:
-            world.servers.take_notice(name, ServerNotice(rest_s=rest_s))
+            world.servers.record_notice(name, ServerNotice(rest_s=rest_s))
             record = world.servers.get(name)
-            world.servers.notices.rests.note_told(record, range(tellers), rest_s)
+            world.servers.notices.rests.record_from_peer(record, range(tellers), rest_s)
 
     context.run_async(run())
 
@@ -105,7 +105,7 @@
     async def run():
         await until(lambda: world.orders.granted(name))
         # As the adapter tells of an answer to an order.
-        world.servers.take_notice(name, LEAVING)
+        world.servers.record_notice(name, LEAVING)
 
     context.run_async(run())
 
@@ -145,11 +145,11 @@
 @then("gateway notes: a report says what a server asked for, and comes back as it was sent")
 def step_codec(context):
     one = Gateway("n1")
-    one.servers.take_notice("a", REST)
-    one.servers.take_notice("b", LEAVING)
+    one.servers.record_notice("a", REST)
+    one.servers.record_notice("b", LEAVING)
     sent = report("n1", notices=one.notices.notes())
     assert [each.is_leaving for each in sent.notices] == [True, False], sent
-    assert sent.notices[1].tellers == (node_checksum("n1"),)
+    assert sent.notices[1].reporters == (node_checksum("n1"),)
     assert sent.notices[1].rest_left_s == 3.0
     assert decode_report(encode_report(sent)) == sent
 
@@ -158,27 +158,27 @@
 def step_sums(context):
     gateways = [Gateway(f"n{number}") for number in range(3)]
     for each in gateways[:2]:
-        each.servers.take_notice("a", REST)
+        each.servers.record_notice("a", REST)
     own, *members = [
         report(f"n{number}", notices=each.notices.notes()) for number, each in enumerate(gateways)
     ]
-    summed = sum_up(own, [AgedReport(each, 0.0) for each in members])
+    summed = aggregate_reports(own, [AgedReport(each, 0.0) for each in members])
     (note,) = summed.notices
-    assert sorted(note.tellers) == sorted(map(node_checksum, ("n0", "n1"))), note
+    assert sorted(note.reporters) == sorted(map(node_checksum, ("n0", "n1"))), note
     # The sums come back to a gateway that is part of them.
     gateways[1].notices.take(summed.notices)
     gateways[1].notices.take(summed.notices)
     assert gateways[1].servers.rest_left_s_for_many("a") == 3.0
-    gateways[2].servers.take_notice("b", REST)
+    gateways[2].servers.record_notice("b", REST)
     alone = report("n2", notices=gateways[2].notices.notes())
-    gateways[2].notices.take(sum_up(alone, []).notices)
+    gateways[2].notices.take(aggregate_reports(alone, []).notices)
     assert gateways[2].servers.rest_left_s_for_many("b") == 0.0
 
 
 def tell(tellers, listener, name, notice=REST):
     for node in tellers:
         teller = Gateway(node)
-        teller.servers.take_notice(name, notice)
+        teller.servers.record_notice(name, notice)
         listener.notices.take(teller.notices.notes())
 
 
@@ -198,7 +198,7 @@
     assert not listener.servers.is_held_back("a")
     tell(["n2", "n3"], listener, "b")
     assert listener.usable() == ["a", "b"]
-    listener.servers.take_notice("a", REST)
+    listener.servers.record_notice("a", REST)
     assert listener.usable() == ["b"]
     listener.clock._now_s += 3.1
     assert listener.usable() == ["a", "b"]
@@ -218,7 +218,7 @@
     assert quiet.notices.notes() == ()
     assert not quiet.notices.has_any()
     asked = Gateway("n1")
-    asked.servers.take_notice("a", REST)
+    asked.servers.record_notice("a", REST)
     quiet_bytes = encode_report(report("n1", notices=quiet.notices.notes()))
     asked_bytes = encode_report(report("n1", notices=asked.notices.notes()))
     context.gateway_note_bytes = len(asked_bytes) - len(quiet_bytes)
--- a/features/steps/gateway_rest_socket_steps.py
+++ b/features/steps/gateway_rest_socket_steps.py
@@ -118,7 +118,7 @@
     class AskingConnection(ServerConnection):
         async def connect(self, timeout_s):
             is_connected = await super().connect(timeout_s)
-            servers.take_notice(server_id, ServerNotice(rest_s=3.0))
+            servers.record_notice(server_id, ServerNotice(rest_s=3.0))
             return is_connected
 
     context.gateway.side.sender._open_connection = AskingConnection
--- a/features/steps/gateway_room_steps.py
+++ b/features/steps/gateway_room_steps.py
@@ -46,7 +46,7 @@
         for _ in range(context.gateway_limit):
             board.start(record)
         report = PeerReport("n2", "b", 1, 0, float("inf"), None, board.loads(), (), 0)
-        assert context.gateway.peers.note(report)
+        assert context.gateway.peers.record_report(report)
 
     context.run_async(run())
 
--- a/features/steps/gateway_server_steps.py
+++ b/features/steps/gateway_server_steps.py
@@ -52,13 +52,13 @@
 
 @when("the gateway's store has trouble")
 def trouble(context):
-    context.gateway_health.note_trouble("read", "503")
+    context.gateway_health.record_trouble("read", "503")
 
 
 @when("a relay tells of a trouble of the gateway's store {age_s:g} s ago")
 def relayed_trouble(context, age_s):
     now_s = context.gateway_clock.now()
-    context.gateway_health.note_relayed(now_s, now_s - age_s)
+    context.gateway_health.record_relayed(now_s, now_s - age_s)
 
 
 def advance(context, duration_s):
@@ -141,7 +141,7 @@
         for sent_s, work_s, back_s in sorted(sent, key=sum):
             made_s = sent_s + work_s
             clock._now_s = made_s + back_s
-            true_at_s = store_health.note_answer(sent_s, made_s + store_offset_s)
+            true_at_s = store_health.record_response(sent_s, made_s + store_offset_s)
             shortest_s = min(shortest_s, work_s)
             earliest_s = made_s - shortest_s - MAX_DRIFT * (clock.now() - start_s)
             assert earliest_s - 1e-6 <= true_at_s <= made_s + 1e-6, (true_at_s, made_s)
@@ -168,7 +168,7 @@
             sent_s = clock.now()
             made_s = sent_s + work_s
             clock._now_s = made_s + back_s
-            true_at_s = store_health.note_answer(sent_s, made_s + offset_s)
+            true_at_s = store_health.record_response(sent_s, made_s + offset_s)
             if jump_s:
                 assert abs(true_at_s - sent_s) < 1e-6 or abs(jump_s) < back_s + work_s
             assert true_at_s <= made_s + 1e-6, (true_at_s, made_s)
--- a/features/steps/gateway_sick_leader_steps.py
+++ b/features/steps/gateway_sick_leader_steps.py
@@ -19,7 +19,7 @@
 def hear(world, sequence, proof_age_s):
     beat = LeaderBeat(EPOCH, proof_age_s, HOLD_MAX_S, ())
     report = PeerReport("n2", "boot-9", sequence, EPOCH, 0.0, beat, (), (), 0)
-    assert world.peers.note(report)
+    assert world.peers.record_report(report)
     world.leadership.liveness.record_report(report)
 
 
@@ -30,7 +30,7 @@
         world.store.put(LEADER_KEY, LeaderRow(EPOCH, "n2", "boot-9", NO_VERSION).encode())
         answer = (await world.store.read("", "")).unwrap()
         world.take_rows(answer.rows)
-        world.leadership.record_proof(answer.true_at_s)
+        world.leadership.record_proof(answer.as_of_s)
         hear(world, 1, age_s)
         return world
 
--- a/features/steps/gateway_slow_link_world.py
+++ b/features/steps/gateway_slow_link_world.py
@@ -15,7 +15,7 @@
 from indigoworks.backend.errors import BackendAnswerLost
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
-from indigoworks.exchange.lag_watch import LagWatch
+from indigoworks.exchange.lag_monitor import LagMonitor
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory, encode_peer
 from indigoworks.gateway.platform_subsystem import PlatformSubsystem
@@ -101,7 +101,7 @@
     async def answer(self, asked_s, rows):
         version, made_s = self.store.version, self.clock.now()
         await asyncio.sleep(self.store.latency_s)
-        true_at_s = self.health.note_answer(asked_s, made_s)
+        true_at_s = self.health.record_response(asked_s, made_s)
         await self.link.carry(sum(len(base64.b64encode(each.value)) for each in rows))
         return Ok(Rows(rows, at(version), true_at_s))
 
@@ -119,7 +119,7 @@
             async with asyncio.timeout(timeout_s):
                 while relay.is_frozen:  # noqa: ASYNC110
                     await asyncio.sleep(LATENCY_S)
-                answer = await relay.relay.server.answer(query)
+                answer = await relay.relay.server.respond(query)
                 await asyncio.sleep(LATENCY_S)
         except TimeoutError:
             return Err(BackendAnswerLost("", ""))
@@ -189,7 +189,9 @@
         )
         self.platform.configurations.on_change(self.note_in_force)
         follower = self.platform.followers[0]
-        self.lag = LagWatch("operator", self.platform.operator_position, follower.ask_anew, clock)
+        self.lag = LagMonitor(
+            "operator", self.platform.operator_position, follower.request_reread, clock
+        )
 
     @staticmethod
     def read(value):
@@ -256,7 +258,7 @@
             known = [(each.node, each.platform.operator_row_version) for each in self.live()]
             for gateway in self.gateways:
                 for node, version in known:
-                    gateway.lag.note(node, version)
+                    gateway.lag.record_version(node, version)
 
     async def reload(self, period_s):
         """Let every gateway take settings again and again, as after SIGHUP."""
--- a/features/steps/gateway_speeds_steps.py
+++ b/features/steps/gateway_speeds_steps.py
@@ -31,7 +31,7 @@
     board_alone(context)
     loads = loads_of({"slow": 1}, slow_s) + loads_of({"fast": 1}, fast_s)
     report = PeerReport("n2", "b", 1, 0, 0.0, None, loads, (), 0)
-    assert context.board_peers.note(report)
+    assert context.board_peers.record_report(report)
 
 
 @when('the gateway board measures {times} s at "{server_id}"')
--- a/features/steps/gateway_store_probe_steps.py
+++ b/features/steps/gateway_store_probe_steps.py
@@ -95,7 +95,7 @@
         context.probe_refusing.most_at_work = 0
         for _ in range(round(duration_s / 0.5)):
             for follower in context.probe_followers:
-                follower.ask_anew()
+                follower.request_reread()
             await context.probe_clock.advance(0.5)
 
     context.run_async(run())
--- a/features/steps/router_fakes.py
+++ b/features/steps/router_fakes.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.errors import BackendAnswerLost, BackendUnreachable
 from indigoworks.common.address import Address
 from indigoworks.platform.errors import PlatformUnavailable
@@ -16,8 +16,8 @@
 HOLD_S = 0.25
 LOST = Err(BackendAnswerLost("The answer was lost.", "Look it up."))
 UNREACHABLE = Err(BackendUnreachable("No connection.", "Check the server."))
-WRONG_OWNER = Ok(BackendAnswer(421, (), b"", is_wrong_owner=True))
-SHED = Ok(BackendAnswer(503, (), b"", is_shed=True, retry_after_s=0.2))
+WRONG_OWNER = Ok(BackendResponse(421, (), b"", is_wrong_owner=True))
+SHED = Ok(BackendResponse(503, (), b"", is_shed=True, retry_after_s=0.2))
 
 
 @dataclass
@@ -57,7 +57,7 @@
                 await asyncio.sleep(self.service_s)
         except TimeoutError:
             return LOST
-        return Ok(BackendAnswer(200, (("X-Server", str(address)),), b"whole " + request.body))
+        return Ok(BackendResponse(200, (("X-Server", str(address)),), b"whole " + request.body))
 
     def times_sent(self, request_id):
         return sum(request.request_id == request_id for _, _, request in self.sent)
--- a/features/steps/router_http_steps.py
+++ b/features/steps/router_http_steps.py
@@ -14,7 +14,7 @@
 from tornado.httpclient import HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.router import router as router_module
 
 
@@ -57,7 +57,7 @@
             ("Indigoworks-Request-Id", "of-the-back-end"),
             ("Indigoworks-Outcome", "not-run"),
         )
-        return Ok(BackendAnswer(201, headers, b"whole"))
+        return Ok(BackendResponse(201, headers, b"whole"))
 
     context.backends.answer = answer
     headers = {
@@ -229,7 +229,7 @@
 @when("the HTTP server is stopped while a caller is yet to read an answer of {count:d} bytes")
 def slow_reader(context, count):
     async def answer(address, request):
-        return Ok(BackendAnswer(200, (), b"x" * count))
+        return Ok(BackendResponse(200, (), b"x" * count))
 
     async def run():
         router_module.STOP_LINGER_S = 0.0
--- a/indigoworks/backend/backend_requests.py
+++ b/indigoworks/backend/backend_requests.py
@@ -4,7 +4,7 @@
 
 from result import Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.errors import BackendError
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks.common.address import Address
@@ -15,7 +15,7 @@
 
     async def send(
         self, address: Address, request: OwnedRequest
-    ) -> Result[BackendAnswer, BackendError]:
+    ) -> Result[BackendResponse, BackendError]:
         """Send one request and wait for its whole answer, at most `remaining_s` seconds.
 
         :returns: BackendUnreachable only when no byte of the request reached the server;
--- a/indigoworks/backend/backend_answer.py
+++ b/indigoworks/backend/backend_response.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True)
-class BackendAnswer:
+class BackendResponse:
     """Status, end-to-end headers and whole body of an answer.
 
     :ivar is_wrong_owner: the server does not own the key under the token; it ran nothing (421).
--- a/indigoworks/backend/http_backend_control.py
+++ b/indigoworks/backend/http_backend_control.py
@@ -7,9 +7,9 @@
 
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendAnswerLost, BackendError, BackendRefused
-from indigoworks.backend.http_answer import HttpAnswer
 from indigoworks.backend.http_message import HttpMessage
 from indigoworks.backend.http_renewal_model import HttpRenewalModel
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.backend.http_sender import HttpSender
 from indigoworks.backend.http_status_model import HttpStatusModel
 from indigoworks.backend.lease_renewal import LeaseRenewal
@@ -61,7 +61,7 @@
         return _status_of(address, sent.unwrap())
 
 
-def _status_of(address: Address, answer: HttpAnswer) -> Result[BackendStatus, BackendError]:
+def _status_of(address: Address, answer: HttpResponse) -> Result[BackendStatus, BackendError]:
     if answer.status == HTTPStatus.CONFLICT:
         return Err(_refused(address, answer))
     if answer.status != HTTPStatus.OK:
@@ -72,7 +72,7 @@
         return Err(_unusable(address))
 
 
-def _refused(address: Address, answer: HttpAnswer) -> BackendRefused:
+def _refused(address: Address, answer: HttpResponse) -> BackendRefused:
     reason = answer.body.decode("utf-8", "replace")
     return BackendRefused(
         f"The back end at {address} refused the renewal: {reason}",
--- a/indigoworks/backend/http_backend_requests.py
+++ b/indigoworks/backend/http_backend_requests.py
@@ -6,11 +6,11 @@
 from result import Err, Ok, Result
 
 from indigoworks.backend import http_header_names as names
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.errors import BackendAnswerLost, BackendError
-from indigoworks.backend.http_answer import HttpAnswer
 from indigoworks.backend.http_header_filter import end_to_end_headers
 from indigoworks.backend.http_message import HttpMessage
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.backend.http_sender import HttpSender
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks.common.address import Address
@@ -48,7 +48,7 @@
 
     async def send(
         self, address: Address, request: OwnedRequest
-    ) -> Result[BackendAnswer, BackendError]:
+    ) -> Result[BackendResponse, BackendError]:
         """Send one request and wait for its whole answer; see BackendRequests.send."""
         deadline_s = self._clock.now() + request.remaining_s
 
@@ -87,16 +87,16 @@
 
 
 def _checked(
-    address: Address, request: OwnedRequest, answer: HttpAnswer
-) -> Result[BackendAnswer, BackendError]:
+    address: Address, request: OwnedRequest, answer: HttpResponse
+) -> Result[BackendResponse, BackendError]:
     if answer.header(names.REQUEST_ID) != request.request_id:
         return Err(_foreign_answer(address))
     return Ok(_backend_answer(answer))
 
 
-def _backend_answer(answer: HttpAnswer) -> BackendAnswer:
+def _backend_answer(answer: HttpResponse) -> BackendResponse:
     is_shed = answer.status == STATUS_SHED and answer.header(names.SHED) is not None
-    return BackendAnswer(
+    return BackendResponse(
         status=answer.status,
         headers=end_to_end_headers(answer.headers),
         body=answer.body,
@@ -106,7 +106,7 @@
     )
 
 
-def _retry_after_s(answer: HttpAnswer) -> float:
+def _retry_after_s(answer: HttpResponse) -> float:
     try:
         return max(0.0, float(answer.header(names.RETRY_AFTER) or ""))
     except ValueError:
--- a/indigoworks/backend/http_connection.py
+++ b/indigoworks/backend/http_connection.py
@@ -6,10 +6,10 @@
 from tornado.httputil import HTTPHeaders, RequestStartLine
 from tornado.iostream import IOStream, StreamClosedError
 
-from indigoworks.backend.http_answer import HttpAnswer
-from indigoworks.backend.http_answer_reader import HttpAnswerReader
 from indigoworks.backend.http_message import HttpMessage
-from indigoworks.backend.transfer_watch import TransferWatch
+from indigoworks.backend.http_response import HttpResponse
+from indigoworks.backend.http_response_reader import HttpResponseReader
+from indigoworks.backend.transfer_deadline import TransferDeadline
 from indigoworks.common.address import Address
 
 MAX_HEADERS_BYTES = 64 * 1024
@@ -51,7 +51,7 @@
         # A stream without a close callback and without a read does not listen to its socket.
         self._stream.set_close_callback(_ignore_close)
 
-    async def exchange(self, message: HttpMessage, watch: TransferWatch) -> HttpAnswer | None:
+    async def exchange(self, message: HttpMessage, watch: TransferDeadline) -> HttpResponse | None:
         """Send `message` and read its answer.
 
         The connection is closed afterwards unless it can take another request; cancelling the
@@ -60,11 +60,11 @@
         :param watch: told of each part of the answer as it comes.
         :returns: None where the answer is not whole: the server may have run the request.
         """
-        reader = HttpAnswerReader(message.method, watch)
+        reader = HttpResponseReader(message.method, watch)
         can_continue = False
         try:
             await self._write_and_read(message, reader)
-            answer = reader.whole_answer()
+            answer = reader.complete_response()
             can_continue = answer is not None and reader.keeps_connection
             return answer
         except (OSError, StreamClosedError):
@@ -77,7 +77,7 @@
         """Close the connection."""
         self._stream.close()
 
-    async def _write_and_read(self, message: HttpMessage, reader: HttpAnswerReader) -> None:
+    async def _write_and_read(self, message: HttpMessage, reader: HttpResponseReader) -> None:
         connection = HTTP1Connection(self._stream, True, self._parameters)
         start_line = RequestStartLine(message.method, message.path, "HTTP/1.1")
         headers = self._headers_of(message)
--- a/indigoworks/backend/http_range_model.py
+++ b/indigoworks/backend/http_range_model.py
@@ -8,7 +8,7 @@
 
 HEXADECIMAL = 16
 
-PlaceText = Annotated[str, StringConstraints(pattern=r"^0x[0-9a-f]{16}$")]
+KeyPositionText = Annotated[str, StringConstraints(pattern=r"^0x[0-9a-f]{16}$")]
 """A place in the 64-bit key space as text: JSON numbers lose digits above 2**53."""
 
 
@@ -17,8 +17,8 @@
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
-    start: PlaceText
-    end: PlaceText
+    start: KeyPositionText
+    end: KeyPositionText
     token: int
     is_releasing: bool = False
 
--- a/indigoworks/backend/http_answer.py
+++ b/indigoworks/backend/http_response.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True)
-class HttpAnswer:
+class HttpResponse:
     """Status, headers as received and whole body.
 
     :ivar headers_s: clock reading when status and headers had come; not a number: not noted.
--- a/indigoworks/backend/http_answer_reader.py
+++ b/indigoworks/backend/http_response_reader.py
@@ -7,8 +7,8 @@
     ResponseStartLine,
 )
 
-from indigoworks.backend.http_answer import HttpAnswer
-from indigoworks.backend.transfer_watch import TransferWatch
+from indigoworks.backend.http_response import HttpResponse
+from indigoworks.backend.transfer_deadline import TransferDeadline
 
 STATUS_CONTINUE_LIMIT = 200
 """Statuses below this announce a later answer."""
@@ -16,7 +16,7 @@
 STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
-class HttpAnswerReader(HTTPMessageDelegate):
+class HttpResponseReader(HTTPMessageDelegate):
     """Receives the parts of one answer from the HTTP library.
 
     An answer is whole only if its length was announced and all of it came. A body that ends with
@@ -25,7 +25,7 @@
     :param watch: told of each part as it comes.
     """
 
-    def __init__(self, method: str, watch: TransferWatch) -> None:
+    def __init__(self, method: str, watch: TransferDeadline) -> None:
         self._method = method
         self._watch = watch
         self._status = 0
@@ -42,7 +42,7 @@
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < STATUS_CONTINUE_LIMIT:
             return
-        self._watch.headers_came()
+        self._watch.headers_received()
         self._status = start_line.code
         self._headers = tuple(headers.get_all())
         self._has_known_length = self._length_is_known(headers)
@@ -51,7 +51,7 @@
 
     def data_received(self, chunk: bytes) -> None:
         """Take a part of the body."""
-        self._watch.piece_came()
+        self._watch.chunk_received()
         self._chunks.append(chunk)
 
     def finish(self) -> None:
@@ -66,12 +66,12 @@
         """Tell whether the server takes another request on this connection."""
         return self._keeps_connection
 
-    def whole_answer(self) -> HttpAnswer | None:
+    def complete_response(self) -> HttpResponse | None:
         """Return the answer, or None where any of it is missing."""
         if not self._is_finished or not self._has_known_length:
             return None
         body = b"".join(self._chunks)
-        return HttpAnswer(self._status, self._headers, body, self._watch.headers_s)
+        return HttpResponse(self._status, self._headers, body, self._watch.headers_s)
 
     def _length_is_known(self, headers: HTTPHeaders) -> bool:
         if self._method == "HEAD" or self._status in STATUSES_WITHOUT_BODY:
--- a/indigoworks/backend/http_sender.py
+++ b/indigoworks/backend/http_sender.py
@@ -6,11 +6,11 @@
 from result import Err, Ok, Result
 
 from indigoworks.backend.errors import BackendAnswerLost, BackendError, BackendUnreachable
-from indigoworks.backend.http_answer import HttpAnswer
 from indigoworks.backend.http_connection_pool import HttpConnectionPool
 from indigoworks.backend.http_message import HttpMessage
+from indigoworks.backend.http_response import HttpResponse
+from indigoworks.backend.transfer_deadline import TransferDeadline
 from indigoworks.backend.transfer_limits import TransferLimits
-from indigoworks.backend.transfer_watch import TransferWatch
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
 
@@ -32,7 +32,7 @@
         build: MessageBuilder,
         timeout_s: float,
         transfer: TransferLimits | None = None,
-    ) -> Result[HttpAnswer, BackendError]:
+    ) -> Result[HttpResponse, BackendError]:
         """Send one message and wait for its whole answer.
 
         :param timeout_s: seconds for waiting, connecting, sending and the answer together; with
@@ -54,7 +54,7 @@
                     message = build()
                     is_sent = True
                     answer = await connection.exchange(
-                        message, TransferWatch(self._clock, limit, transfer)
+                        message, TransferDeadline(self._clock, limit, transfer)
                     )
                 finally:
                     pool.release(connection)
--- a/indigoworks/backend/transfer_watch.py
+++ b/indigoworks/backend/transfer_deadline.py
@@ -7,7 +7,7 @@
 from indigoworks.common.clock import Clock
 
 
-class TransferWatch:
+class TransferDeadline:
     """Told of each part of an answer as soon as it is read.
 
     The HTTP library hands over what has come as soon as it would have to wait for more, so that
@@ -25,18 +25,18 @@
         self.headers_s = math.nan
         """Reading of the clock when status and headers had come; not a number before."""
 
-    def headers_came(self) -> None:
+    def headers_received(self) -> None:
         """Take note of status and headers of the answer."""
         self.headers_s = self._clock.now()
         if self._limits is not None:
-            self._latest_s = asyncio.get_running_loop().time() + self._limits.whole_s
+            self._latest_s = asyncio.get_running_loop().time() + self._limits.total_timeout_s
             self._wait_on(self._limits)
 
-    def piece_came(self) -> None:
+    def chunk_received(self) -> None:
         """Take note of a piece of the body."""
         if self._limits is not None:
             self._wait_on(self._limits)
 
     def _wait_on(self, limits: TransferLimits) -> None:
-        silent_s = asyncio.get_running_loop().time() + limits.silence_s
+        silent_s = asyncio.get_running_loop().time() + limits.idle_timeout_s
         self._limit.reschedule(min(silent_s, self._latest_s))
--- a/indigoworks/backend/transfer_limits.py
+++ b/indigoworks/backend/transfer_limits.py
@@ -13,5 +13,5 @@
         that trickles without end.
     """
 
-    silence_s: float
-    whole_s: float
+    idle_timeout_s: float
+    total_timeout_s: float
--- a/indigoworks/broker/broker_codec.py
+++ b/indigoworks/broker/broker_codec.py
@@ -11,7 +11,7 @@
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 from indigoworks.quarantine.doubt import Doubt
 from indigoworks.quarantine.request_mark import RequestMark
-from indigoworks.servers.server_word import ServerWord
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 
 MS_PER_S = 1000.0
 PERCENT = 100.0
@@ -157,7 +157,7 @@
     word = None
     if message.HasField("word"):
         load = message.word
-        word = ServerWord(load.running, load.waiting, load.slots, load.pace_percent / PERCENT)
+        word = SelfReportedLoad(load.running, load.waiting, load.slots, load.pace_percent / PERCENT)
     return SlotRelease(
         message.number, message.is_served, word, message.is_unreached, message.has_ended_server
     )
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -17,8 +17,8 @@
 from indigoworks.broker.slot_request import SlotRequest
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
-from indigoworks.exchange.cut_watch import CutWatch
-from indigoworks.exchange.datagram_port import DatagramPort, OpenDatagrams
+from indigoworks.exchange.datagram_endpoint import DatagramEndpoint, OpenDatagrams
+from indigoworks.exchange.partition_monitor import PartitionMonitor
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_table import PeerTable
@@ -54,8 +54,8 @@
         clock: Clock,
         random: Random,
         doubts: DoubtTable,
-        cuts: CutWatch,
-        open_datagrams: OpenDatagrams = DatagramPort,
+        cuts: PartitionMonitor,
+        open_datagrams: OpenDatagrams = DatagramEndpoint,
     ) -> None:
         self._own = own
         self._platform = platform
--- a/indigoworks/broker/group_locks.py
+++ b/indigoworks/broker/group_locks.py
@@ -6,7 +6,7 @@
 
 from indigoworks.broker.stored_lock import StoredLock
 from indigoworks.broker.stored_locks import StoredLocks
-from indigoworks.exchange.cut_watch import CutWatch
+from indigoworks.exchange.partition_monitor import PartitionMonitor
 from indigoworks.gateway.attempt_locks import AttemptLock, AttemptLocks
 from indigoworks.gateway.refusal import Refusal
 
@@ -34,7 +34,7 @@
     once another side has written it.
     """
 
-    def __init__(self, brokered: AttemptLocks, stored: StoredLocks, cuts: CutWatch) -> None:
+    def __init__(self, brokered: AttemptLocks, stored: StoredLocks, cuts: PartitionMonitor) -> None:
         self._brokered = brokered
         self._stored = stored
         self._cuts = cuts
@@ -46,7 +46,7 @@
         brokered = await self._brokered.acquire(mark, limit_s, lease_s)
         if brokered is None or isinstance(brokered, Refusal):
             return brokered
-        if not self._cuts.is_cut() and not self._stored.is_in_use(mark):
+        if not self._cuts.is_partitioned() and not self._stored.is_in_use(mark):
             return brokered
         stored = await self._acquire_stored(brokered, mark, limit_s, lease_s)
         if stored is None:
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -5,7 +5,7 @@
 
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.load_view import LoadView
-from indigoworks.servers.server_word import ServerWord
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 
 TAKEOVER_S = 0.25
 """Time for which a new broker also counts the gateways' reports, as it does not know the slots that
@@ -62,7 +62,7 @@
         if self._clock.now() - self._takeover_began_s > TAKEOVER_S:
             self._is_taking_over = False
 
-    def record_server_load(self, server_id: str, word: ServerWord) -> None:
+    def record_server_load(self, server_id: str, word: SelfReportedLoad) -> None:
         """Record the load that a server stated: requests beyond granted slots come from others."""
         requests = word.running + word.waiting - self._granted(server_id)
         if requests > 0:
--- a/indigoworks/broker/slot_release.py
+++ b/indigoworks/broker/slot_release.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from indigoworks.servers.server_word import ServerWord
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,6 +17,6 @@
 
     number: int
     is_served: bool = False
-    word: ServerWord | None = None
+    word: SelfReportedLoad | None = None
     is_unreached: bool = False
     has_ended_server: bool = False
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from indigoworks.common.clock import Clock
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
@@ -79,6 +79,6 @@
         """Tell whether the server's process is known to have ended."""
         return self._servers.is_gone(server_id)
 
-    def note_replaced(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
+    def record_replaced(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
         """Record that another server answers at the address of `server_id`."""
-        self._servers.note_replaced(server_id, by_server_id, sign)
+        self._servers.record_replaced(server_id, by_server_id, sign)
--- a/indigoworks/controllog/control_log_node.py
+++ b/indigoworks/controllog/control_log_node.py
@@ -9,8 +9,8 @@
 from indigoworks.controllog.errors import ControlLogError, not_leader
 from indigoworks.controllog.follow_service import FollowService
 from indigoworks.controllog.leader_follower import LeaderFollower
+from indigoworks.controllog.leader_lease_monitor import LeaderLeaseMonitor
 from indigoworks.controllog.leader_tenure import LeaderTenure
-from indigoworks.controllog.leader_watch import LeaderWatch
 from indigoworks.controllog.log_replica import LogReplica
 from indigoworks.controllog.log_rows import LogRows
 from indigoworks.controllog.log_status import LogStatus
@@ -44,7 +44,7 @@
         self._timing = timing
         self._rows = LogRows(table, group_id, timing.ring_rows)
         self._replica = LogReplica(state, timing.kept_entries)
-        self._watch = LeaderWatch(member, clock, timing.lease_s)
+        self._watch = LeaderLeaseMonitor(member, clock, timing.lease_s)
         self._follows = FollowService(member, self._replica, clock, timing)
         self._follower = LeaderFollower(member, group_id, self._replica, self._watch, clock, timing)
         self._tenure: LeaderTenure | None = None
@@ -70,7 +70,7 @@
             return
         if self._tenure is not None:
             self._tenure.stop()
-            await asyncio.wait([running], timeout=self._timing.give_up_s)
+            await asyncio.wait([running], timeout=self._timing.resign_timeout_s)
         running.cancel()
         await asyncio.wait([running])
 
@@ -153,7 +153,7 @@
             await self._clock.sleep(self._timing.read_interval_s)
 
     async def _act_on(self, stored: StoredLeader, asked_at_s: float) -> None:
-        self._watch.note(stored.version)
+        self._watch.record_version(stored.version)
         self._epoch = max(self._epoch, stored.row.epoch)
         if self._watch.has_lapsed(stored):
             if not self._is_stopping:
--- a/indigoworks/controllog/follow_service.py
+++ b/indigoworks/controllog/follow_service.py
@@ -43,7 +43,7 @@
 
     def members(self) -> Configuration:
         """Return this node and those that follow it."""
-        oldest_s = self._clock.now() - self._timing.member_silence_s
+        oldest_s = self._clock.now() - self._timing.member_timeout_s
         self._heard = {key: heard for key, heard in self._heard.items() if heard[1] >= oldest_s}
         return Configuration(voters=[self._member, *(member for member, _ in self._heard.values())])
 
@@ -52,7 +52,7 @@
         if request.generation != replica.generation:
             return
         try:
-            async with asyncio.timeout(self._timing.hold_s):
+            async with asyncio.timeout(self._timing.long_poll_s):
                 # A follower that has read the store may be ahead of a leader that waits for it.
                 while replica.index <= request.known_index and tenure.is_running():
                     await replica.changed.wait()
--- a/indigoworks/controllog/leader_follower.py
+++ b/indigoworks/controllog/leader_follower.py
@@ -2,7 +2,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
-from indigoworks.controllog.leader_watch import LeaderWatch
+from indigoworks.controllog.leader_lease_monitor import LeaderLeaseMonitor
 from indigoworks.controllog.log_replica import LogReplica
 from indigoworks.controllog.log_timing import LogTiming
 from indigoworks.wire.control_pb2 import Configuration, FollowReply, FollowRequest, Frame, Member
@@ -22,7 +22,7 @@
         member: Member,
         group_id: int,
         replica: LogReplica,
-        watch: LeaderWatch,
+        watch: LeaderLeaseMonitor,
         clock: Clock,
         timing: LogTiming,
     ) -> None:
@@ -73,4 +73,4 @@
             replica.confirm(asked_at_s)
         self.epoch = reply.epoch
         self.members = reply.members
-        self._watch.note(reply.row_version)
+        self._watch.record_version(reply.row_version)
--- a/indigoworks/controllog/leader_watch.py
+++ b/indigoworks/controllog/leader_lease_monitor.py
@@ -5,7 +5,7 @@
 from indigoworks.wire.control_pb2 import Member
 
 
-class LeaderWatch:
+class LeaderLeaseMonitor:
     """Tells when the leader's lease has surely ended, by the own clock only."""
 
     def __init__(self, member: Member, clock: Clock, lease_s: float) -> None:
@@ -15,7 +15,7 @@
         self._version = -1
         self._first_seen_s = 0.0
 
-    def note(self, version: int) -> None:
+    def record_version(self, version: int) -> None:
         """Note the version of the row, after it was read or told by the leader."""
         if version > self._version:
             self._version = version
--- a/indigoworks/controllog/leader_tenure.py
+++ b/indigoworks/controllog/leader_tenure.py
@@ -209,7 +209,7 @@
         row = LeaderRow()
         row.CopyFrom(self._row)
         row.ClearField("leader")
-        until_s = self._clock.now() + self._timing.give_up_s
+        until_s = self._clock.now() + self._timing.resign_timeout_s
         while self._clock.now() < until_s:
             written = await self._rows.write(row, self.version)
             error = written.err()
--- a/indigoworks/controllog/log_timing.py
+++ b/indigoworks/controllog/log_timing.py
@@ -30,10 +30,10 @@
     store_silence_s: float = 0.7
     retry_s: float = 0.1
     read_interval_s: float = 0.25
-    hold_s: float = 0.15
+    long_poll_s: float = 0.15
     call_timeout_s: float = 0.4
-    member_silence_s: float = 2.0
-    give_up_s: float = 2.0
+    member_timeout_s: float = 2.0
+    resign_timeout_s: float = 2.0
     batch_bytes: int = 256 * 1024
     ring_rows: int = 16
     kept_entries: int = 512
--- a/indigoworks/exchange/datagram_port.py
+++ b/indigoworks/exchange/datagram_endpoint.py
@@ -7,7 +7,7 @@
 from indigoworks.common.address import Address
 
 
-class DatagramPort(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends datagrams, and hands on those that arrive.
 
     :param on_datagram: called with the bytes of each datagram and the address that sent it.
@@ -50,5 +50,5 @@
         """Pass over errors of single datagrams: peers come and go."""
 
 
-OpenDatagrams = Callable[[Address, Callable[[bytes, Address], None]], DatagramPort]
-"""Makes a socket that is not yet bound, as `DatagramPort` does; the simulation has its own."""
+OpenDatagrams = Callable[[Address, Callable[[bytes, Address], None]], DatagramEndpoint]
+"""Makes a socket that is not yet bound, as `DatagramEndpoint` does; the simulation has its own."""
--- a/indigoworks/exchange/datagram_exchange.py
+++ b/indigoworks/exchange/datagram_exchange.py
@@ -2,7 +2,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
-from indigoworks.exchange.datagram_port import DatagramPort
+from indigoworks.exchange.datagram_endpoint import DatagramEndpoint
 from indigoworks.exchange.report_sender import ReportSender
 
 
@@ -15,7 +15,9 @@
     sender: ReportSender
 
     def __init__(self, address: Address, clock: Clock) -> None:
-        self._port = DatagramPort(address, lambda datagram, _: self.sender.take(datagram))
+        self._port = DatagramEndpoint(
+            address, lambda datagram, _: self.sender.handle_datagram(datagram)
+        )
         self._clock = clock
 
     async def open(self) -> None:
--- a/indigoworks/exchange/hub_sums.py
+++ b/indigoworks/exchange/hub_aggregation.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
 
-from indigoworks.exchange.notice_note import NoticeNote, merge_notes
 from indigoworks.exchange.peer_report import AgedReport, PeerReport, node_checksum
 from indigoworks.exchange.server_load import ServerLoad
+from indigoworks.exchange.shared_notice import SharedNotice, merge_notices
 
 
-def sum_up(own: PeerReport, members: Sequence[AgedReport]) -> PeerReport:
+def aggregate_reports(own: PeerReport, members: Sequence[AgedReport]) -> PeerReport:
     """Return the report of a hub.
 
     Loads are summed up; the age of the beat and the versions are the best of all. Every number
@@ -26,12 +26,12 @@
         configuration_version=max(each.configuration_version for each in reports),
         group_version=max(each.group_version for each in reports),
         operator_row_version=max(each.operator_row_version for each in reports),
-        notices=merge_notes((*own.notices, *_aged_notes(members))),
+        notices=merge_notices((*own.notices, *_aged_notes(members))),
         members=tuple((node_checksum(each.report.node), each.report.sequence) for each in members),
     )
 
 
-def _aged_notes(members: Sequence[AgedReport]) -> Iterable[NoticeNote]:
+def _aged_notes(members: Sequence[AgedReport]) -> Iterable[SharedNotice]:
     return (note.aged(each.age_s) for each in members for note in each.report.notices)
 
 
--- a/indigoworks/exchange/hub_choice.py
+++ b/indigoworks/exchange/hub_selector.py
@@ -24,7 +24,7 @@
 a later epoch."""
 
 
-class HubChoice:
+class HubSelector:
     """The strongest gateway of the zone that is heard and does not lead; ties go by name.
 
     Nobody appoints a hub: whoever reports to a gateway is summed up by it. Two hubs in a zone cost
--- a/indigoworks/exchange/lag_watch.py
+++ b/indigoworks/exchange/lag_monitor.py
@@ -16,7 +16,7 @@
 MAX_PATIENCE_S = 4.0
 
 
-class LagWatch:
+class LagMonitor:
     """Asks a feed anew when a peer has been ahead for too long: an answer to it may be lost.
 
     :param what: name of what is followed, for the log.
@@ -28,18 +28,18 @@
         self,
         what: str,
         own_version: Callable[[], StoreVersion],
-        ask_anew: Callable[[], None],
+        request_reread: Callable[[], None],
         clock: Clock,
     ) -> None:
         self._what = what
         self._own_version = own_version
-        self._ask_anew = ask_anew
+        self._ask_anew = request_reread
         self._clock = clock
         self._behind_since_s: float | None = None
         self._behind_version = NO_VERSION
         self._patience_s = PATIENCE_S
 
-    def note(self, peer: str, version: StoreVersion) -> None:
+    def record_version(self, peer: str, version: StoreVersion) -> None:
         """Take the version that a peer says it has."""
         own_version = self._own_version()
         if version <= own_version:
--- a/indigoworks/exchange/member_list.py
+++ b/indigoworks/exchange/member_list.py
@@ -24,13 +24,13 @@
         self._covered_s: dict[str, float] = {}
         self._sent: dict[int, tuple[float, tuple[ServerLoad, ...]]] = {}
 
-    def note_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
+    def record_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
         """Remember a report to a hub."""
         self._sent[sequence] = self._clock.now(), loads
         while len(self._sent) > REMEMBERED_REPORTS:
             del self._sent[next(iter(self._sent))]
 
-    def note(self, report: PeerReport, age_s: float) -> tuple[ServerLoad, ...]:
+    def record_report(self, report: PeerReport, age_s: float) -> tuple[ServerLoad, ...]:
         """Take a newer report; return what of this process is in its sums."""
         at_s = self._clock.now() - age_s
         own_loads: tuple[ServerLoad, ...] = ()
--- a/indigoworks/exchange/notice_codec.py
+++ b/indigoworks/exchange/notice_codec.py
@@ -2,26 +2,26 @@
 
 from indigoworks.common.limit_word import LimitWord
 from indigoworks.exchange.exchange_pb2 import LimitMessage, NoticeMessage
-from indigoworks.exchange.notice_note import NoticeNote
+from indigoworks.exchange.shared_notice import SharedNotice
 
 MS_PER_S = 1000.0
 MAX_AGE_MS = 2**32 - 1
 
 
-def to_message(note: NoticeNote) -> NoticeMessage:
+def to_message(note: SharedNotice) -> NoticeMessage:
     """Return the message of a note."""
     return NoticeMessage(
         server=note.server,
         rest_left_ms=round(max(0.0, note.rest_left_s) * MS_PER_S),
-        tellers=note.tellers,
+        tellers=note.reporters,
         is_leaving=note.is_leaving,
         limit=None if note.limit is None else _limit_message(note.limit),
     )
 
 
-def from_message(message: NoticeMessage) -> NoticeNote:
+def from_message(message: NoticeMessage) -> SharedNotice:
     """Return the note of a message."""
-    return NoticeNote(
+    return SharedNotice(
         message.server,
         message.rest_left_ms / MS_PER_S,
         tuple(message.tellers),
--- a/indigoworks/exchange/cut_watch.py
+++ b/indigoworks/exchange/partition_monitor.py
@@ -23,7 +23,7 @@
 """A share is used again for so long: it takes a look at each member."""
 
 
-class CutWatch:
+class PartitionMonitor:
     """Compares the members that the store lists with those that are heard.
 
     What the members keep together by messages alone has no sum while it says so: each part of a cut
@@ -38,7 +38,7 @@
         self._share = 1.0
         self._share_until_s = float("-inf")
 
-    def take_rows(self, rows: Iterable[Row]) -> None:
+    def apply_rows(self, rows: Iterable[Row]) -> None:
         """Take note of when members were listed first; the directory has taken the rows already."""
         if not any(row.key.startswith(PEER_PREFIX) for row in rows):
             return
@@ -46,7 +46,7 @@
         nodes = [each.node for each in self._directory.others()]
         self._listed_s = {each: self._listed_s.get(each, now_s) for each in nodes}
 
-    def is_cut(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Tell whether a member is not heard that may still run."""
         return any(self._is_missed(each) for each in self._listed_s)
 
--- a/indigoworks/exchange/peer_report.py
+++ b/indigoworks/exchange/peer_report.py
@@ -6,9 +6,9 @@
 
 from indigoworks.exchange.key_sample import KeySample
 from indigoworks.exchange.leader_beat import LeaderBeat
-from indigoworks.exchange.notice_note import NoticeNote
 from indigoworks.exchange.server_load import ServerLoad
-from indigoworks.exchange.suspect_note import SuspectNote
+from indigoworks.exchange.shared_notice import SharedNotice
+from indigoworks.exchange.suspect_record import SuspectRecord
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
 
@@ -48,8 +48,8 @@
     is_joining: bool = False
     members: tuple[tuple[int, int], ...] = ()
     operator_row_version: StoreVersion = NO_VERSION
-    suspects: tuple[SuspectNote, ...] = ()
-    notices: tuple[NoticeNote, ...] = ()
+    suspects: tuple[SuspectRecord, ...] = ()
+    notices: tuple[SharedNotice, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/indigoworks/exchange/peer_table.py
+++ b/indigoworks/exchange/peer_table.py
@@ -40,7 +40,7 @@
         self._list = MemberList(own_node, clock, LIVE_S)
         self.on_heard: Callable[[], None] = _nothing
 
-    def note(self, report: PeerReport, age_s: float = 0.0) -> bool:
+    def record_report(self, report: PeerReport, age_s: float = 0.0) -> bool:
         """Take a report; False where a newer one of the same boot is known.
 
         :param age_s: how long ago it arrived at who handed it on.
@@ -54,7 +54,7 @@
             log_message(message_type="peer:heard", peer=report.node, boot=report.boot)
             self.on_heard()
         self._drop_counts(report.node)
-        own_loads = self._list.note(report, age_s)
+        own_loads = self._list.record_report(report, age_s)
         self._reports[report.node] = report
         self._times_s[report.node] = self._clock.now() - age_s
         self._count(report, own_loads)
@@ -67,9 +67,9 @@
             del self._member_samples[:-MAX_SAMPLES]
         return True
 
-    def note_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
+    def record_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
         """Remember what this process told its hub: the hub's sums hold it."""
-        self._list.note_sent(sequence, loads)
+        self._list.record_sent(sequence, loads)
 
     def add_samples(self, samples: Iterable[KeySample]) -> None:
         """Keep samples until they are taken."""
@@ -110,7 +110,7 @@
         """Return when the newest own report was sent that `hub` said it sums up; None: none."""
         return self._list.covered_time_s(hub)
 
-    def is_summed_up(self, node: str) -> bool:
+    def is_aggregated(self, node: str) -> bool:
         """Tell whether another hub tells `node` of the sums."""
         report = self._reports.get(node)
         reports_itself = report is not None and not report.hub and self._is_live(node)
--- a/indigoworks/exchange/report_pace.py
+++ b/indigoworks/exchange/report_pace.py
@@ -25,7 +25,7 @@
 """But one after so long in any case, and so many periods at least as above."""
 
 
-class ReportReach(Enum):
+class ReportScope(Enum):
     """Who gets a report."""
 
     NONE = "none"
@@ -58,7 +58,7 @@
         has_news: bool,
         is_summed: bool = False,
         is_urgent: bool = False,
-    ) -> ReportReach:
+    ) -> ReportScope:
         """Return who gets a report now.
 
         :param has_news: a report would say something new.
@@ -71,14 +71,14 @@
         is_far_overdue = self._near_periods >= _periods(FAR_QUIET_S, period_s)
         is_for_all = is_urgent or is_overdue or is_far_overdue
         if not has_news and not is_for_all:
-            return ReportReach.NONE
+            return ReportScope.NONE
         self._quiet_periods = 0
         self._changes = (self._changes + 1) % FAR_PERIODS
         if self._changes and not is_for_all:
-            return ReportReach.NEAR
+            return ReportScope.NEAR
         self._changes = 0
         self._near_periods = 0
-        return ReportReach.ALL
+        return ReportScope.ALL
 
 
 def _periods(duration_s: float, period_s: float) -> int:
--- a/indigoworks/exchange/report_sender.py
+++ b/indigoworks/exchange/report_sender.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, replace
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.hub_choice import HubChoice
-from indigoworks.exchange.hub_sums import sum_up
+from indigoworks.exchange.hub_aggregation import aggregate_reports
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_report import AgedReport, PeerReport
 from indigoworks.exchange.peer_table import PeerTable
 from indigoworks.exchange.report_codec import decode_datagram, encode_forwarded, encode_report
-from indigoworks.exchange.report_pace import ReportPace, ReportReach
+from indigoworks.exchange.report_pace import ReportPace, ReportScope
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         zone: str,
         directory: PeerDirectory,
         table: PeerTable,
-        choice: HubChoice,
+        choice: HubSelector,
         source: ReportSource,
         send: Callable[[bytes, Address], None],
     ) -> None:
@@ -69,9 +69,9 @@
             self._directory.count_others(), has_news, self._is_paced(), self._is_urgent
         )
         self._is_urgent = False
-        if reach is not ReportReach.NONE:
+        if reach is not ReportScope.NONE:
             self._table.drop_silent()
-            self.send_now(is_to_all_zones=reach is ReportReach.ALL)
+            self.send_now(is_to_all_zones=reach is ReportScope.ALL)
 
     def send_soon(self) -> None:
         """Send a report now, or to all with the next one that is due where there are many peers.
@@ -109,10 +109,10 @@
                 # From now on the sums of the hub hold what each peer has counted of this process.
                 self._send_to_each(replace(report, loads=(), hub=hub.node), hub.node, True)
 
-    def take(self, datagram: bytes) -> None:
+    def handle_datagram(self, datagram: bytes) -> None:
         """Take a datagram of a peer."""
         for each in decode_datagram(datagram):
-            if self._table.note(each.report, each.age_s):
+            if self._table.record_report(each.report, each.age_s):
                 self._source.on_report(each.report)
 
     def _is_paced(self) -> bool:
@@ -124,14 +124,14 @@
         A hub that hears but is not heard would else count a second time what each peer is told.
         """
         is_joining = not self._choice.is_covered()
-        self._table.note_sent(report.sequence, () if is_joining else report.loads)
+        self._table.record_sent(report.sequence, () if is_joining else report.loads)
         told = replace(report, hub=hub.node, is_joining=is_joining)
         self._send(encode_report(told), hub.address)
 
     def _send_as_hub(self, report: PeerReport, is_to_all_zones: bool) -> None:
         """Tell the sums to members and to all that no other hub tells them."""
         members = self._table.members()
-        summed = sum_up(report, members)
+        summed = aggregate_reports(report, members)
         samples = (*report.samples, *self._table.drain_member_samples())
         short = encode_report(replace(summed, samples=()))
         hubs = self._table.hub_reports()
@@ -148,7 +148,7 @@
                 self._send(short + self._of_same_zone(peer, hubs), peer.address)
 
     def _is_told_by_us(self, peer: PeerAddress) -> bool:
-        return self._choice.has_led() or not self._table.is_summed_up(peer.node)
+        return self._choice.has_led() or not self._table.is_aggregated(peer.node)
 
     def _not_forwarded(self, hubs: list[AgedReport]) -> list[AgedReport]:
         """Return the reports of other hubs that are newer than those forwarded to members last."""
--- a/indigoworks/exchange/notice_note.py
+++ b/indigoworks/exchange/shared_notice.py
@@ -5,16 +5,16 @@
 
 from indigoworks.common.limit_word import LimitWord
 
-MAX_TELLERS = 4
+MAX_REPORTERS = 4
 """Gateways that a note names: whether more than that were asked makes no difference to anybody."""
 
-MAX_NOTES = 28
+MAX_NOTICES = 28
 """Notes in a report, of up to 49 bytes each (computed), so that it stays below the 1.5 KB of a
 packet."""
 
 
 @dataclass(frozen=True, slots=True)
-class NoticeNote:
+class SharedNotice:
     """A server's wish, as it was told to the sender and to those whom the sender sums up.
 
     :ivar server: checksum of the server's id.
@@ -26,33 +26,33 @@
 
     server: int
     rest_left_s: float
-    tellers: tuple[int, ...]
+    reporters: tuple[int, ...]
     is_leaving: bool
     limit: LimitWord | None = None
 
-    def aged(self, age_s: float) -> "NoticeNote":
+    def aged(self, age_s: float) -> "SharedNotice":
         """Return the same as of `age_s` later, as far as ages go."""
         if self.limit is None:
             return self
         return replace(self, limit=replace(self.limit, age_s=self.limit.age_s + age_s))
 
 
-def merge_notes(notes: Iterable[NoticeNote]) -> tuple[NoticeNote, ...]:
+def merge_notices(notes: Iterable[SharedNotice]) -> tuple[SharedNotice, ...]:
     """Return one note for each server, leaving ones first; the same whatever the order."""
-    merged: dict[int, NoticeNote] = {}
+    merged: dict[int, SharedNotice] = {}
     for note in notes:
         known = merged.get(note.server)
         merged[note.server] = note if known is None else _merge(known, note)
     ordered = sorted(merged.values(), key=lambda each: (not each.is_leaving, -each.rest_left_s))
-    return tuple(ordered[:MAX_NOTES])
+    return tuple(ordered[:MAX_NOTICES])
 
 
-def _merge(one: NoticeNote, other: NoticeNote) -> NoticeNote:
-    tellers = sorted({*one.tellers, *other.tellers})
-    return NoticeNote(
+def _merge(one: SharedNotice, other: SharedNotice) -> SharedNotice:
+    tellers = sorted({*one.reporters, *other.reporters})
+    return SharedNotice(
         one.server,
         max(one.rest_left_s, other.rest_left_s),
-        tuple(tellers[:MAX_TELLERS]),
+        tuple(tellers[:MAX_REPORTERS]),
         one.is_leaving or other.is_leaving,
         _newer(one.limit, other.limit),
     )
--- a/indigoworks/exchange/stored_suspect.py
+++ b/indigoworks/exchange/stored_suspect.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from indigoworks.exchange.suspect_note import SuspectNote
+from indigoworks.exchange.suspect_record import SuspectRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,5 +13,5 @@
     :ivar store_ms: reading of the store's steady clock then, in milliseconds; 0: not known.
     """
 
-    note: SuspectNote
+    record: SuspectRecord
     store_ms: int
--- a/indigoworks/exchange/suspect_codec.py
+++ b/indigoworks/exchange/suspect_codec.py
@@ -4,13 +4,13 @@
 
 from indigoworks.exchange.exchange_pb2 import StoredSuspectMessage, SuspectMessage
 from indigoworks.exchange.stored_suspect import StoredSuspect
-from indigoworks.exchange.suspect_note import SuspectNote
+from indigoworks.exchange.suspect_record import SuspectRecord
 
 MS_PER_S = 1000.0
 NO_CRASH_MS = 2**32 - 1
 
 
-def to_message(note: SuspectNote) -> SuspectMessage:
+def to_message(note: SuspectRecord) -> SuspectMessage:
     """Return the message of a note."""
     return SuspectMessage(
         head=note.head,
@@ -23,10 +23,10 @@
     )
 
 
-def from_message(message: SuspectMessage) -> SuspectNote:
+def from_message(message: SuspectMessage) -> SuspectRecord:
     """Return the note of a message."""
     has_crash = message.crashed_age_ms != NO_CRASH_MS
-    return SuspectNote(
+    return SuspectRecord(
         head=message.head,
         body=message.body,
         generation=message.generation,
@@ -39,7 +39,7 @@
 
 def encode_stored(stored: StoredSuspect) -> bytes:
     """Return the value of a row."""
-    message = StoredSuspectMessage(suspect=to_message(stored.note), store_ms=stored.store_ms)
+    message = StoredSuspectMessage(suspect=to_message(stored.record), store_ms=stored.store_ms)
     return message.SerializeToString()
 
 
--- a/indigoworks/exchange/suspect_note.py
+++ b/indigoworks/exchange/suspect_record.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectNote:
+class SuspectRecord:
     """One request, by the digests of its content; see `indigoworks.quarantine.suspect`.
 
     :ivar crashed_age_s: seconds since the latest of `crashes`; infinity: there is none.
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from indigoworks.common.clock import Clock
-from indigoworks.exchange.lag_watch import LagWatch
+from indigoworks.exchange.lag_monitor import LagMonitor
 from indigoworks.exchange.leader_beat import LeaderBeat
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_report import PeerReport
@@ -27,7 +27,7 @@
 from indigoworks.ownership.range_keeper import RangeKeeper
 from indigoworks.ownership.server_reach import ServerReach
 from indigoworks.ownership.table_writer import TableWriter
-from indigoworks.relay.relay_choice import relay_capacity
+from indigoworks.relay.relay_selector import relay_capacity
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.store_version import NO_VERSION
 from indigoworks.rowstore.table_follower import TableFollower
@@ -78,7 +78,7 @@
                 random,
             ),
         )
-        ports.orders.add_notice_listener(platform.servers.take_notice)
+        ports.orders.add_notice_listener(platform.servers.record_notice)
         self._bounds = HoldBounds(clock)
         self._policy = HoldPolicy(ports.health, settings.hold_max_s)
         self._reach = ServerReach(clock)
@@ -98,17 +98,17 @@
             self._take_rows,
             self.leadership.record_proof,
         )
-        platform.on_path_failed(self.follower.ask_anew)
-        ports.health.eras.on_new(self.follower.ask_anew)
+        platform.on_path_failed(self.follower.request_reread)
+        ports.health.eras.on_new(self.follower.request_reread)
         self.group_version = NO_VERSION
         self._lags = (
-            LagWatch(
+            LagMonitor(
                 "operator",
                 platform.operator_position,
-                platform.followers[0].ask_anew,
+                platform.followers[0].request_reread,
                 clock,
             ),
-            LagWatch("group", lambda: self.group_version, self.follower.ask_anew, clock),
+            LagMonitor("group", lambda: self.group_version, self.follower.request_reread, clock),
         )
 
     async def follow(self) -> None:
@@ -148,12 +148,12 @@
     def take_report(self, report: PeerReport) -> None:
         """Take a report of a peer."""
         era = max(report.operator_row_version.era, report.group_version.era)
-        self._ports.health.eras.note(era, report.node)
+        self._ports.health.eras.record_era(era, report.node)
         self.leadership.liveness.record_report(report)
-        self._lags[0].note(report.node, report.operator_row_version)
+        self._lags[0].record_version(report.node, report.operator_row_version)
         configurations = self._platform.configurations
         configurations.record_newer_version(report.configuration_version, self._clock.now())
-        self._lags[1].note(report.node, report.group_version)
+        self._lags[1].record_version(report.node, report.group_version)
         if report.leader is not None and report.leader.epoch >= self.leadership.row.epoch:
             self.tables.apply_beat(report.leader)
         self.owners_changed()
@@ -198,7 +198,7 @@
         self.owners_changed()
 
     def _make_leader(self) -> GroupLeader:
-        self.follower.ask_anew()
+        self.follower.request_reread()
         writer = TableWriter(
             self.group,
             self.leadership,
--- a/indigoworks/gateway/exchange_factory.py
+++ b/indigoworks/gateway/exchange_factory.py
@@ -2,7 +2,7 @@
 
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.datagram_exchange import DatagramExchange
-from indigoworks.exchange.hub_choice import HubChoice
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_table import PeerTable
 from indigoworks.exchange.report_sender import ReportSender, ReportSource
@@ -21,7 +21,7 @@
 
     :param capacity: what its machine offers as hub; 0: it is none.
     """
-    choice = HubChoice(
+    choice = HubSelector(
         settings.node, settings.zone, capacity, directory, table, source.leader_node, clock
     )
     exchange = DatagramExchange(settings.peer_address, clock)
--- a/indigoworks/gateway/notice_reports.py
+++ b/indigoworks/gateway/notice_reports.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable
 
-from indigoworks.exchange.notice_note import NoticeNote, merge_notes
 from indigoworks.exchange.peer_report import node_checksum
 from indigoworks.exchange.server_load import server_checksum
+from indigoworks.exchange.shared_notice import SharedNotice, merge_notices
 from indigoworks.servers.server_list import ServerList
 from indigoworks.servers.server_notice import ServerNotice
 
@@ -34,39 +34,40 @@
     def has_any(self) -> bool:
         """Tell whether there is anything to tell."""
         notices = self._servers.notices
-        return notices.limits.has_words() or (notices.has_any() and bool(self._wishes()))
+        return notices.limits.has_reported() or (notices.has_any() and bool(self._wishes()))
 
-    def notes(self) -> tuple[NoticeNote, ...]:
+    def notes(self) -> tuple[SharedNotice, ...]:
         """Return what the next report says; empty without any work while nobody asks."""
         notices = self._servers.notices
         wishes = self._wishes() if notices.has_any() else []
-        limits = self._next_limits() if notices.limits.has_words() else []
-        return merge_notes([*wishes, *limits])
+        limits = self._next_limits() if notices.limits.has_reported() else []
+        return merge_notices([*wishes, *limits])
 
-    def _wishes(self) -> list[NoticeNote]:
+    def _wishes(self) -> list[SharedNotice]:
         """Return the wishes that this process was told of itself."""
         notices = self._servers.notices
         resting = [
-            NoticeNote(server_checksum(each), notices.rests.left_s(each), (self._own,), False)
+            SharedNotice(server_checksum(each), notices.rests.left_s(each), (self._own,), False)
             for each in notices.rests.resting()
         ]
         leaving = [
-            NoticeNote(server_checksum(each), 0.0, (), True)
-            for each in notices.told_leaving_within(LEAVING_TOLD_S)
+            SharedNotice(server_checksum(each), 0.0, (), True)
+            for each in notices.said_leaving_within(LEAVING_TOLD_S)
         ]
         return [*resting, *leaving]
 
-    def _next_limits(self) -> list[NoticeNote]:
+    def _next_limits(self) -> list[SharedNotice]:
         """Return the next part of the words on limits, whoever heard them."""
-        words = list(self._servers.notices.limits.words())
+        words = list(self._servers.notices.limits.reported_limits())
         first = self._first_limit % len(words)
         self._first_limit = first + LIMITS_IN_REPORT
         told = (words + words)[first : first + min(LIMITS_IN_REPORT, len(words))]
         return [
-            NoticeNote(server_checksum(server_id), 0.0, (), False, word) for server_id, word in told
+            SharedNotice(server_checksum(server_id), 0.0, (), False, word)
+            for server_id, word in told
         ]
 
-    def take(self, notes: Iterable[NoticeNote]) -> None:
+    def take(self, notes: Iterable[SharedNotice]) -> None:
         """Take what a report of a peer says."""
         known = tuple(notes)
         if not known:
@@ -76,9 +77,9 @@
             record = by_checksum.get(note.server)
             if record is None:
                 continue
-            others = tuple(each for each in note.tellers if each != self._own)
-            self._servers.notices.rests.note_told(record, others, note.rest_left_s)
+            others = tuple(each for each in note.reporters if each != self._own)
+            self._servers.notices.rests.record_from_peer(record, others, note.rest_left_s)
             if note.limit is not None:
-                self._servers.notices.limits.take_told(record, note.limit)
+                self._servers.notices.limits.record_from_peer(record, note.limit)
             if note.is_leaving:
-                self._servers.notices.take(record, ServerNotice(is_leaving=True), is_own=False)
+                self._servers.notices.record(record, ServerNotice(is_leaving=True), is_own=False)
--- a/indigoworks/gateway/platform_ports.py
+++ b/indigoworks/gateway/platform_ports.py
@@ -14,9 +14,9 @@
 from indigoworks.rowstore.row_store import RowStore
 from indigoworks.rowstore.store_health import StoreHealth
 from indigoworks.servers.errors import ServerEntryUnreadable
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 from indigoworks.servers.server_notice import ServerNotice
 from indigoworks.servers.server_record import ServerRecord
-from indigoworks.servers.server_word import ServerWord
 
 
 @dataclass(frozen=True)
@@ -42,5 +42,5 @@
     read_configuration: Callable[[bytes], Result[Configuration, ConfigurationInvalid]]
     read_server: Callable[[Row], Result[ServerRecord, ServerEntryUnreadable]]
     read_evacuated_zone: Callable[[str], str | None]
-    read_server_word: Callable[[str], ServerWord | None]
+    read_server_word: Callable[[str], SelfReportedLoad | None]
     read_server_notice: Callable[[int, HTTPHeaders], ServerNotice]
--- a/indigoworks/gateway/platform_subsystem.py
+++ b/indigoworks/gateway/platform_subsystem.py
@@ -8,7 +8,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.gateway_settings import GatewaySettings
 from indigoworks.gateway.platform_ports import PlatformPorts
-from indigoworks.relay.relay_choice import PROBE_WAIT_S
+from indigoworks.relay.relay_selector import PROBE_WAIT_S
 from indigoworks.routes.configuration import Configuration
 from indigoworks.routes.configuration_holder import ConfigurationHolder
 from indigoworks.rowstore.row import Row
@@ -150,7 +150,7 @@
         """Read all anew; the newest configuration and the evacuations stay in force meanwhile."""
         self.servers.evacuations.keep_all()
         for follower in self.followers:
-            follower.ask_anew()
+            follower.request_reread()
 
     def _take_all_operator_rows(self, rows: Sequence[Row]) -> None:
         zones = (self._ports.read_evacuated_zone(row.key) for row in rows)
@@ -269,7 +269,7 @@
         return min(SERVERS_PACE_SHARE * self._drain_s, MAX_SERVERS_PACE_S)
 
     def _path_failed(self) -> None:
-        self.followers[0].ask_anew()
+        self.followers[0].request_reread()
         for listener in self._path_listeners:
             listener()
 
--- a/indigoworks/gateway/relay_subsystem.py
+++ b/indigoworks/gateway/relay_subsystem.py
@@ -11,7 +11,7 @@
 from indigoworks.gateway.platform_ports import PlatformPorts
 from indigoworks.ownership.control_group import CONTROL_TABLE
 from indigoworks.relay.feed_server import FeedServer
-from indigoworks.relay.relay_choice import RelayChoice, relay_capacity
+from indigoworks.relay.relay_selector import RelaySelector, relay_capacity
 from indigoworks.relay.relayed_store import RelayedStore
 from indigoworks.rowstore.probing_store import ProbingStore
 
@@ -38,7 +38,7 @@
         random: Random,
     ) -> None:
         self.capacity = relay_capacity(settings.capacity_cores, settings.link_mbit)
-        self.choice = RelayChoice(
+        self.choice = RelaySelector(
             settings.node,
             settings.zone,
             self.capacity,
--- a/indigoworks/gateway/request_pipeline.py
+++ b/indigoworks/gateway/request_pipeline.py
@@ -23,7 +23,7 @@
 from indigoworks.gateway.server_response import ExchangeResult, ServerResponse
 from indigoworks.gateway.server_stats import ServerStats
 from indigoworks.gateway.waiting_request import WaitingRequest
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
@@ -229,8 +229,8 @@
         by_server_id = answer.answering_id
         is_other = by_server_id is not None and by_server_id != server.server_id
         if answer.status == MISDIRECTED and is_other:
-            sign = ReplacementSign.REQUEST
-            self._servers.note_replaced(server.server_id, by_server_id or "", sign)
+            sign = ReplacementEvidence.REQUEST
+            self._servers.record_replaced(server.server_id, by_server_id or "", sign)
             return
         self._board.note_answer(server.server_id)
         if (
--- a/indigoworks/gateway/request_sender.py
+++ b/indigoworks/gateway/request_sender.py
@@ -14,9 +14,9 @@
 from indigoworks.gateway.response_collector import ResponseCollector
 from indigoworks.gateway.server_connection import OpenConnection, ServerConnection
 from indigoworks.gateway.server_response import ExchangeResult, ServerResponse
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 from indigoworks.servers.server_notice import NOTHING_ASKED, ServerNotice
 from indigoworks.servers.server_record import ServerRecord
-from indigoworks.servers.server_word import ServerWord
 
 CONNECT_TIMEOUT_S = 0.3
 """Longest wait for a new connection: machines are milliseconds apart, and a server whose queue of
@@ -66,7 +66,7 @@
         self,
         names: HeaderNames,
         clock: Clock,
-        read_word: Callable[[str], ServerWord | None] = lambda text: None,
+        read_word: Callable[[str], SelfReportedLoad | None] = lambda text: None,
         open_connection: OpenConnection = ServerConnection,
         read_notice: ReadNotice = read_nothing,
     ) -> None:
@@ -169,7 +169,7 @@
         if is_run and notice.limit_per_s is None and not notice.unreadable:
             self.on_no_limit(server_id)
 
-    def _word(self, answer: ResponseCollector) -> ServerWord | None:
+    def _word(self, answer: ResponseCollector) -> SelfReportedLoad | None:
         text = answer.headers.get(self._names.load)
         return None if text is None else self._read_word(text)
 
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -11,8 +11,8 @@
 from indigoworks.common.clock import Clock
 from indigoworks.common.logging.line_rates import LineRates
 from indigoworks.common.metrics import Metrics
-from indigoworks.exchange.cut_watch import CutWatch
-from indigoworks.exchange.datagram_port import DatagramPort, OpenDatagrams
+from indigoworks.exchange.datagram_endpoint import DatagramEndpoint, OpenDatagrams
+from indigoworks.exchange.partition_monitor import PartitionMonitor
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_table import PeerTable
@@ -71,7 +71,7 @@
         random: Random,
         own: PeerAddress,
         open_connection: OpenConnection = ServerConnection,
-        open_datagrams: OpenDatagrams = DatagramPort,
+        open_datagrams: OpenDatagrams = DatagramEndpoint,
     ) -> None:
         self.board = ServerStats(peers, clock)
         self.sampler = KeySampler()
@@ -80,7 +80,7 @@
         self.sender = RequestSender(
             ports.names, clock, ports.read_server_word, open_connection, ports.read_server_notice
         )
-        self.sender.on_notice = platform.servers.take_notice
+        self.sender.on_notice = platform.servers.record_notice
         self.sender.is_held_back = platform.servers.is_held_back
         self.notices = NoticeReports(settings.node, platform.servers)
         self.on_notice: Callable[[], None] = _nothing
@@ -89,7 +89,7 @@
         limits = platform.servers.notices.limits
         limits.on_change = self._take_wish
         self.sender.is_limit_known = limits.is_known
-        self.sender.on_no_limit = platform.servers.take_no_limit
+        self.sender.on_no_limit = platform.servers.record_no_limit
         rates = ServerRateLimiter(platform.servers.cold, limits, platform.is_keyed, clock)
         self.choice = ServerSelector(
             platform.servers, self.board, rates, settings.zone, random, directory.has_many
@@ -99,7 +99,7 @@
             self.choice, owners, self.board, CapacityTracker(self.board, rates), clock
         )
         self.doubts = DoubtTable(clock, random)
-        self._cuts = CutWatch(directory, peers, clock)
+        self._cuts = PartitionMonitor(directory, peers, clock)
         self.brokers = BrokerSubsystem(
             own,
             platform,
@@ -144,7 +144,7 @@
             CONTROL_TABLE,
             group.transaction,
             clock,
-            self._cuts.is_cut,
+            self._cuts.is_partitioned,
         )
         peers.on_heard = self.quarantine.report_all_again
         self.quarantine.on_status_change = self._quarantine_rows.schedule_write
@@ -207,7 +207,7 @@
 
     def take_rows(self, rows: Sequence[Row]) -> None:
         """Take rows of the group, which the directory has taken already."""
-        self._cuts.take_rows(rows)
+        self._cuts.apply_rows(rows)
         self._quarantine_rows.apply_rows(rows)
         self._stored_locks.apply_rows(rows)
 
--- a/indigoworks/gateway/server_response.py
+++ b/indigoworks/gateway/server_response.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from indigoworks.servers.server_word import ServerWord
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 
 
 class ExchangeResult(Enum):
@@ -35,7 +35,7 @@
     answering_id: str | None = None
     keep_alive_s: float | None = None
     detail: str = ""
-    word: ServerWord | None = None
+    word: SelfReportedLoad | None = None
 
     @property
     def was_sent(self) -> bool:
--- a/indigoworks/gateway/server_stats.py
+++ b/indigoworks/gateway/server_stats.py
@@ -6,8 +6,8 @@
 from indigoworks.exchange.load_view import LoadView
 from indigoworks.exchange.server_load import ServerLoad, server_checksum
 from indigoworks.gateway.server_paces import ServerPaces
+from indigoworks.servers.self_reported_load import SelfReportedLoad
 from indigoworks.servers.server_record import ServerRecord
-from indigoworks.servers.server_word import ServerWord
 
 SMOOTHING = 0.1
 """Weight of the newest measurement in the moving average of a server's time; the first few weigh
@@ -68,7 +68,7 @@
         self._average(self._service_s, server.server_id, measured_s)
         self._average(self._by_service_s, server.service, measured_s)
 
-    def note_word(self, server_id: str, word: ServerWord) -> None:
+    def note_word(self, server_id: str, word: SelfReportedLoad) -> None:
         """Take what a server said of its load."""
         self._paces.note(server_id, word.pace)
 
--- a/indigoworks/ownership/former_owners.py
+++ b/indigoworks/ownership/former_owners.py
@@ -12,7 +12,7 @@
 from indigoworks.ownership.server_orders import ServerOrders
 from indigoworks.ownership.server_reach import ServerReach
 from indigoworks.ownership.transfer_proof import TransferProof
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
@@ -159,7 +159,7 @@
             return self._note_released(server_id, release, outcome)
         if outcome.is_from_other(server_id):
             by_server_id = outcome.answering_id or ""
-            self._servers.note_replaced(server_id, by_server_id, ReplacementSign.ORDER)
+            self._servers.record_replaced(server_id, by_server_id, ReplacementEvidence.ORDER)
             return TransferProof.ORDER_MISDIRECTED
         return None
 
--- a/indigoworks/ownership/range_keeper.py
+++ b/indigoworks/ownership/range_keeper.py
@@ -16,7 +16,7 @@
 from indigoworks.ownership.range_move import RangeMove
 from indigoworks.ownership.server_orders import ServerOrders
 from indigoworks.ownership.server_reach import ServerReach
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_source import ServerSource
 
 ORDER_TIMEOUT_S = 0.8
@@ -202,8 +202,8 @@
             self._bounds.record_not_applied(self.owned)
         if outcome.is_from_other(self.owned.server_id):
             by_server_id = outcome.answering_id or ""
-            sign = ReplacementSign.ORDER
-            self._servers.note_replaced(self.owned.server_id, by_server_id, sign)
+            sign = ReplacementEvidence.ORDER
+            self._servers.record_replaced(self.owned.server_id, by_server_id, sign)
         if result is OrderResult.FENCED:
             self.needs_token = True
             self.is_granted = False
--- a/indigoworks/ownership/table_writer.py
+++ b/indigoworks/ownership/table_writer.py
@@ -66,7 +66,7 @@
                 continue
             answer = result.unwrap()
             self._leadership.apply(answer.rows)
-            self._leadership.record_proof(answer.true_at_s)
+            self._leadership.record_proof(answer.as_of_s)
             self._tables.apply(answer.rows)
             return self._leadership.may_act()
         return False
--- a/indigoworks/quarantine/quarantine.py
+++ b/indigoworks/quarantine/quarantine.py
@@ -6,7 +6,7 @@
 from eliot import log_message
 
 from indigoworks.common.clock import Clock
-from indigoworks.exchange.suspect_note import SuspectNote
+from indigoworks.exchange.suspect_record import SuspectRecord
 from indigoworks.quarantine.crash_ids import (
     NO_WINDOW,
     last_window,
@@ -163,13 +163,13 @@
 
     # ---- peers and store ----
 
-    def merge_suspects(self, notes: Iterable[SuspectNote]) -> None:
+    def merge_suspects(self, notes: Iterable[SuspectRecord]) -> None:
         """Take what a peer or the store says."""
         for note in notes:
             if note.seen_age_s < RETENTION_S:
                 self._take_note(note)
 
-    def next_report(self) -> tuple[SuspectNote, ...]:
+    def next_report(self) -> tuple[SuspectRecord, ...]:
         """Return what the next report names; each call counts as one telling."""
         return tuple(self.to_note(each) for each in self._news.next_batch())
 
@@ -187,10 +187,10 @@
         """Return what is known of the request of a mark."""
         return self._table.get(mark)
 
-    def to_note(self, suspect: Suspect) -> SuspectNote:
+    def to_note(self, suspect: Suspect) -> SuspectRecord:
         """Return what to tell of a suspect now."""
         now_s = self._clock.now()
-        return SuspectNote(
+        return SuspectRecord(
             head=suspect.mark.head,
             body=suspect.mark.body,
             generation=suspect.generation,
@@ -218,7 +218,7 @@
         self._table.put(known.with_seen(self._clock.now()))
         self.on_refusal(known)
 
-    def _take_note(self, note: SuspectNote) -> None:
+    def _take_note(self, note: SuspectRecord) -> None:
         now_s = self._clock.now()
         mark = RequestMark(note.head, note.body)
         told = Suspect(
--- a/indigoworks/quarantine/quarantine_rows.py
+++ b/indigoworks/quarantine/quarantine_rows.py
@@ -9,7 +9,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.stored_suspect import StoredSuspect
 from indigoworks.exchange.suspect_codec import decode_stored, encode_stored
-from indigoworks.exchange.suspect_note import SuspectNote
+from indigoworks.exchange.suspect_record import SuspectRecord
 from indigoworks.quarantine.quarantine import Quarantine
 from indigoworks.quarantine.request_mark import RequestMark
 from indigoworks.quarantine.suspect import Suspect
@@ -153,14 +153,14 @@
             del self._wanted[mark]
         return True
 
-    def _note_of(self, row: Row) -> SuspectNote | None:
+    def _note_of(self, row: Row) -> SuspectRecord | None:
         """Return what a row says, with its ages as of now."""
         stored = decode_stored(row.value)
         if row.is_removed or stored is None:
             return None
         now_ms = self._health.to_store_ms(self._clock.now())
         age_s = max(0, now_ms - stored.store_ms) / MS_PER_S if now_ms and stored.store_ms else 0.0
-        note = stored.note
+        note = stored.record
         self._note_stored(RequestMark(note.head, note.body), self._clock.now() - age_s)
         return replace(
             note,
--- a/indigoworks/relay/feed_answer.py
+++ b/indigoworks/relay/feed_response.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FeedAnswer:
+class FeedResponse:
     """Changed rows of one table, and how sure the relay is of them.
 
     :ivar version: to go on from.
--- a/indigoworks/relay/feed_answer_codec.py
+++ b/indigoworks/relay/feed_response_codec.py
@@ -6,7 +6,7 @@
 from google.protobuf.message import DecodeError
 
 from indigoworks.exchange.exchange_pb2 import FeedAnswerMessage, RowMessage
-from indigoworks.relay.feed_answer import FeedAnswer
+from indigoworks.relay.feed_response import FeedResponse
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.store_version import StoreVersion
 
@@ -25,7 +25,7 @@
 """Compressed values that are kept: all gateways of a zone ask for the same newest rows."""
 
 
-def encode_feed_answer(answer: FeedAnswer) -> bytes:
+def encode_feed_response(answer: FeedResponse) -> bytes:
     """Return the bytes of an answer."""
     message = FeedAnswerMessage(
         version=answer.version.counter,
@@ -50,7 +50,7 @@
     return message.SerializeToString()
 
 
-def decode_feed_answer(body: bytes) -> FeedAnswer | None:
+def decode_feed_response(body: bytes) -> FeedResponse | None:
     """Return the answer in `body`; None where it is not one."""
     message = FeedAnswerMessage()
     try:
@@ -58,7 +58,7 @@
         rows = tuple(_row(each) for each in message.rows)
     except (DecodeError, zlib.error):
         return None
-    return FeedAnswer(
+    return FeedResponse(
         rows,
         StoreVersion(message.era, message.version),
         _seconds(message.proof_age_ms),
--- a/indigoworks/relay/feed_server.py
+++ b/indigoworks/relay/feed_server.py
@@ -7,13 +7,13 @@
 from tornado.httputil import HTTPHeaders, HTTPServerRequest, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from indigoworks.backend.http_answer import HttpAnswer
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
 from indigoworks.common.http_listener import HttpListener
-from indigoworks.relay.feed_answer import FeedAnswer
-from indigoworks.relay.feed_answer_codec import encode_feed_answer
-from indigoworks.relay.relay_choice import RelayChoice
+from indigoworks.relay.feed_response import FeedResponse
+from indigoworks.relay.feed_response_codec import encode_feed_response
+from indigoworks.relay.relay_selector import RelaySelector
 from indigoworks.relay.relayed_store import MAX_PROOF_AGE_S, UNAVAILABLE_STATUS, RelayedStore
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.store_health import StoreHealth
@@ -39,7 +39,7 @@
         self,
         address: Address,
         store: RelayedStore,
-        choice: RelayChoice,
+        choice: RelaySelector,
         health: StoreHealth,
         clock: Clock,
     ) -> None:
@@ -68,14 +68,14 @@
         while True:
             await self._clock.sleep(WATCH_PERIOD_S)
             if self._answering and not self._is_fresh():
-                self._store.wake_all()
+                self._store.wake_waiters()
 
     def _handle(self, request: HTTPServerRequest) -> None:
         task = asyncio.ensure_future(self._respond(request))
         self._answering.add(task)
         task.add_done_callback(self._answering.discard)
 
-    async def answer(self, query: str) -> HttpAnswer:
+    async def respond(self, query: str) -> HttpResponse:
         """Return the answer to a question, once there is something new or its time is over.
 
         :param query: part of the question's address behind the question mark.
@@ -86,17 +86,17 @@
             after = StoreVersion(int(fields["era"][0]), int(fields["after"][0]))
             wait_s = min(int(fields["wait_ms"][0]) / MS_PER_S, MAX_WAIT_S)
         except (KeyError, ValueError):
-            return HttpAnswer(BAD_STATUS, (), b"Send table, era, after and wait_ms.")
-        self._health.eras.note(after.era, "asker")
-        self._choice.note_asked()
-        if not self._store.asks_the_store():
+            return HttpResponse(BAD_STATUS, (), b"Send table, era, after and wait_ms.")
+        self._health.eras.record_era(after.era, "asker")
+        self._choice.record_request()
+        if not self._store.reads_store_directly():
             reason = b"Ask the store: this gateway asks another one."
-            return HttpAnswer(UNAVAILABLE_STATUS, (), reason)
+            return HttpResponse(UNAVAILABLE_STATUS, (), reason)
         rows = await self._feed_answer(table, after, wait_s)
-        return HttpAnswer(OK_STATUS, (), encode_feed_answer(rows))
+        return HttpResponse(OK_STATUS, (), encode_feed_response(rows))
 
     async def _respond(self, request: HTTPServerRequest) -> None:
-        answer = await self.answer(request.query)
+        answer = await self.respond(request.query)
         connection = request.connection
         assert connection is not None
         headers = HTTPHeaders({"Content-Length": str(len(answer.body))})
@@ -107,7 +107,7 @@
         except (StreamClosedError, OSError):
             pass
 
-    async def _feed_answer(self, table: str, after: StoreVersion, wait_s: float) -> FeedAnswer:
+    async def _feed_answer(self, table: str, after: StoreVersion, wait_s: float) -> FeedResponse:
         history = self._store.history(table)
         until_s = self._clock.now() + wait_s
         if not history.knows_since(after) and history.knows_all():
@@ -129,9 +129,9 @@
         version: StoreVersion,
         is_gone: bool = False,
         is_whole: bool = False,
-    ) -> FeedAnswer:
+    ) -> FeedResponse:
         trouble_s = self._health.last_trouble_s
-        return FeedAnswer(
+        return FeedResponse(
             rows,
             version,
             self._health.proof_age_s(),
--- a/indigoworks/relay/relay_questions.py
+++ b/indigoworks/relay/relay_client.py
@@ -6,20 +6,20 @@
 from result import Err, Result
 
 from indigoworks.backend.errors import BackendError, BackendUnreachable
-from indigoworks.backend.http_answer import HttpAnswer
 from indigoworks.backend.http_message import HttpMessage
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.backend.http_sender import HttpSender
 from indigoworks.backend.transfer_limits import TransferLimits
 from indigoworks.exchange.peer_address import PeerAddress
 
-TRANSFER_LIMITS = TransferLimits(silence_s=1.0, whole_s=5.0)
+TRANSFER_LIMITS = TransferLimits(idle_timeout_s=1.0, total_timeout_s=5.0)
 """Of an answer whose headers have come. A relay that is lost in the middle of one is noticed as
 soon as a store is, and packets that queue on a full link for some tenths of a second end none;
 computed, 0.06 MB, a compressed configuration of 2,533 routes, come within the whole over a fiftieth
 of a link of 5 Mbit/s."""
 
 
-class RelayQuestions:
+class RelayClient:
     """Asks relays; when one of them has failed, all questions that wait there end.
 
     Questions for tables that seldom change wait for up to 25 s. A relay that froze leaves them all
@@ -30,13 +30,13 @@
         self._sender = sender
         self._failures: dict[str, asyncio.Event] = {}
 
-    async def ask(
+    async def send(
         self,
         relay: PeerAddress,
         build: Callable[[], HttpMessage],
         timeout_s: float,
         grace_s: float = 0.0,
-    ) -> Result[HttpAnswer, BackendError]:
+    ) -> Result[HttpResponse, BackendError]:
         """Return the answer of `relay`; an error also where `note_failure` names it meanwhile.
 
         :param timeout_s: seconds until the answer's headers have come.
@@ -56,7 +56,7 @@
             asking.cancel()
             failing.cancel()
 
-    def note_failure(self, node: str) -> None:
+    def fail_pending(self, node: str) -> None:
         """End all questions that wait at a relay."""
         failure = self._failures.pop(node, None)
         if failure is not None:
--- a/indigoworks/relay/relay_choice.py
+++ b/indigoworks/relay/relay_selector.py
@@ -48,7 +48,7 @@
 it would save nothing."""
 
 
-class RelayChoice:
+class RelaySelector:
     """The strongest gateway of the zone that is heard and does not lead; ties go by name.
 
     Nobody appoints a relay: each process chooses by itself, and whoever is asked answers. Two
@@ -174,18 +174,18 @@
         """Return the number of gateways that are known, this one included."""
         return 1 + self._directory.count_others()
 
-    def note_failure(self, node: str) -> None:
+    def record_failure(self, node: str) -> None:
         """Leave a relay alone for a while."""
         self._failed_until_s[node] = self._clock.now() + FAILED_S
 
-    def note_asks_another(self, node: str) -> None:
+    def record_unavailable(self, node: str) -> None:
         """Leave alone for a moment a gateway that asks another one itself.
 
         Where the strongest of a zone has failed, the next one finds so a little later than others.
         """
         self._failed_until_s[node] = self._clock.now() + ASKS_ANOTHER_S
 
-    def note_asked(self) -> None:
+    def record_request(self) -> None:
         """Take note that another gateway asked this one."""
         self._asked_s = self._clock.now()
 
--- a/indigoworks/relay/relayed_store.py
+++ b/indigoworks/relay/relayed_store.py
@@ -10,12 +10,12 @@
 from indigoworks.backend.http_sender import HttpSender
 from indigoworks.common.clock import Clock
 from indigoworks.exchange.peer_address import PeerAddress
-from indigoworks.relay.feed_answer import FeedAnswer
-from indigoworks.relay.feed_answer_codec import decode_feed_answer
 from indigoworks.relay.feed_history import FeedHistory
-from indigoworks.relay.relay_choice import RelayChoice
+from indigoworks.relay.feed_response import FeedResponse
+from indigoworks.relay.feed_response_codec import decode_feed_response
+from indigoworks.relay.relay_client import RelayClient
 from indigoworks.relay.relay_log import log_relay_failed, log_relay_used
-from indigoworks.relay.relay_questions import RelayQuestions
+from indigoworks.relay.relay_selector import RelaySelector
 from indigoworks.rowstore.errors import HistoryGone, StoreError
 from indigoworks.rowstore.row_store import RowStore
 from indigoworks.rowstore.rows import Rows
@@ -76,7 +76,7 @@
         self,
         store: RowStore,
         health: StoreHealth,
-        choice: RelayChoice,
+        choice: RelaySelector,
         sender: HttpSender,
         relayed_tables: frozenset[str],
         clock: Clock,
@@ -85,7 +85,7 @@
         self._store = store
         self._health = health
         self._choice = choice
-        self._questions = RelayQuestions(sender)
+        self._questions = RelayClient(sender)
         self._relayed_tables = relayed_tables
         self._large_tables = large_tables
         self._clock = clock
@@ -131,11 +131,11 @@
         """Return what was followed of a table; nothing of one that no relay hands on."""
         return self._histories.setdefault(table, FeedHistory())
 
-    def asks_the_store(self) -> bool:
+    def reads_store_directly(self) -> bool:
         """Tell whether this process asks the store itself: only then others may ask it."""
         return self._choice.relay() is None
 
-    def wake_all(self) -> None:
+    def wake_waiters(self) -> None:
         """Let everyone who waits for changes look again."""
         for history in self._histories.values():
             history.wake()
@@ -229,40 +229,42 @@
         is_large = table in self._large_tables
         margin_s = LARGE_ANSWER_MARGIN_S if is_large else ANSWER_MARGIN_S
         grace_s = LARGE_ANSWER_MARGIN_S if is_large and self._choice.has_slow_link() else 0.0
-        result = await self._questions.ask(relay, lambda: message, wait_s + margin_s, grace_s)
+        result = await self._questions.send(relay, lambda: message, wait_s + margin_s, grace_s)
         if isinstance(result, Err):
             self._failed(relay, result.unwrap_err().kind)
             return None
         if result.unwrap().status == UNAVAILABLE_STATUS:
-            self._choice.note_asks_another(relay.node)
+            self._choice.record_unavailable(relay.node)
             log_relay_failed(relay.node, "asks_another", 0.0)
             return None
-        answer = decode_feed_answer(result.unwrap().body) if result.unwrap().status == 200 else None
+        answer = (
+            decode_feed_response(result.unwrap().body) if result.unwrap().status == 200 else None
+        )
         if answer is None:
             self._failed(relay, f"status_{result.unwrap().status}")
             return None
         if answer.proof_age_s > MAX_PROOF_AGE_S:
             self._failed(relay, "stale", answer.proof_age_s)
             return None
-        self._health.eras.note(answer.version.era, relay.node)
+        self._health.eras.record_era(answer.version.era, relay.node)
         if answer.is_gone or answer.version.era < self._health.eras.current:
             return None
         if not is_large:
             self._note_used(relay.node)
         return self._rows(answer, sent_s, result.unwrap().headers_s)
 
-    def _rows(self, answer: FeedAnswer, sent_s: float, headers_s: float) -> Rows:
+    def _rows(self, answer: FeedResponse, sent_s: float, headers_s: float) -> Rows:
         # The relay gave the ages before the headers came; the last byte may come much later.
         if not self._choice.is_leading():
             proof_s = headers_s - answer.proof_age_s
-            self._health.note_relayed(proof_s, headers_s - answer.trouble_age_s)
+            self._health.record_relayed(proof_s, headers_s - answer.trouble_age_s)
         # The relay may have answered right after it was asked: no later moment is certain.
         true_at_s = sent_s - answer.proof_age_s
         return Rows(answer.rows, answer.version, true_at_s, answer.is_whole)
 
     def _failed(self, relay: PeerAddress, reason: str, proof_age_s: float = 0.0) -> None:
-        self._choice.note_failure(relay.node)
-        self._questions.note_failure(relay.node)
+        self._choice.record_failure(relay.node)
+        self._questions.fail_pending(relay.node)
         log_relay_failed(relay.node, reason, proof_age_s)
 
     def _note_used(self, node: str) -> None:
--- a/indigoworks/router/caller_response.py
+++ b/indigoworks/router/caller_response.py
@@ -3,7 +3,7 @@
 import json
 from dataclasses import dataclass
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.common.errors import IndigoworksError
 from indigoworks.router.errors import RouterError
 from indigoworks.router.outcome import Outcome
@@ -25,7 +25,7 @@
     error: IndigoworksError | None = None
 
 
-def response_of_answer(answer: BackendAnswer) -> CallerResponse:
+def response_of_answer(answer: BackendResponse) -> CallerResponse:
     """Return the response that forwards a back end's complete answer."""
     return CallerResponse(answer.status, answer.headers, answer.body, Outcome.COMPLETED)
 
--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok, Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.errors import BackendError, BackendUnreachable
 from indigoworks.common.fair_queue import FairQueue
 from indigoworks.router import refusals
@@ -23,7 +23,7 @@
 from indigoworks.router.slow_start import SlowStart
 from indigoworks.settings.resolved_settings import ResolvedSettings
 
-DispatchResult = Result[BackendAnswer, RouterError]
+DispatchResult = Result[BackendResponse, RouterError]
 
 MAX_SHED_PAUSE_S = 1.0
 """Upper bound of the pause after a back end has shed a request, whatever its Retry-After."""
@@ -241,7 +241,7 @@
             return False
         return isinstance(outcome.unwrap_err(), OwnerUnreachable | WrongOwner | ServerShedding)
 
-    def _outcome(self, answered: Result[BackendAnswer, BackendError]) -> DispatchResult:
+    def _outcome(self, answered: Result[BackendResponse, BackendError]) -> DispatchResult:
         if isinstance(answered, Err):
             return Err(self._failure(answered.unwrap_err()))
         answer = answered.unwrap()
@@ -256,7 +256,7 @@
             return refusals.owner_unreachable(self.server.name, self._spread(0.0))
         return refusals.answer_lost(error.message)
 
-    def _shed_by_server(self, answer: BackendAnswer) -> ServerShedding:
+    def _shed_by_server(self, answer: BackendResponse) -> ServerShedding:
         pause_s = min(MAX_SHED_PAUSE_S, max(MIN_SHED_PAUSE_S, answer.retry_after_s))
         self._paused_until_s = max(self._paused_until_s, self._ports.clock.now() + pause_s)
         wait_s = max(answer.retry_after_s, self._service_time.service_s())
--- a/indigoworks/router/forward_codec.py
+++ b/indigoworks/router/forward_codec.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks.router import errors
 from indigoworks.router.dispatch_request import DispatchRequest
@@ -127,7 +127,7 @@
 def dispatch_result(reply: control_pb2.ForwardReply) -> DispatchResult:
     """Return the result in `reply`; an error kind unknown to this version becomes AnswerLost."""
     if reply.outcome == control_pb2.OUTCOME_COMPLETED:
-        return Ok(BackendAnswer(reply.status, _header_pairs(reply.headers), reply.body))
+        return Ok(BackendResponse(reply.status, _header_pairs(reply.headers), reply.body))
     error_type = _ERRORS_BY_KIND.get(reply.error_kind, errors.AnswerLost)
     return Err(error_type(reply.message, reply.remedy, reply.retry_after_s))
 
--- a/indigoworks/rowstore/clock_offset.py
+++ b/indigoworks/rowstore/clock_offset.py
@@ -36,7 +36,7 @@
         """Take note that the store's clock may read anything."""
         self._bounds = None
 
-    def note(self, sent_s: float, received_s: float, store_s: float) -> None:
+    def record_reading(self, sent_s: float, received_s: float, store_s: float) -> None:
         """Take a reading of the store's clock.
 
         :param sent_s: our clock when the question was sent.
--- a/indigoworks/rowstore/rows.py
+++ b/indigoworks/rowstore/rows.py
@@ -17,5 +17,5 @@
 
     rows: tuple[Row, ...]
     version: StoreVersion
-    true_at_s: float
+    as_of_s: float
     is_whole: bool = False
--- a/indigoworks/rowstore/store_eras.py
+++ b/indigoworks/rowstore/store_eras.py
@@ -25,7 +25,7 @@
         """Call `listener` whenever an era ends and another one begins."""
         self._listeners.append(listener)
 
-    def note(self, era: int, told_by: str = "store") -> None:
+    def record_era(self, era: int, told_by: str = "store") -> None:
         """Take note that somebody has named an era.
 
         :param told_by: the peer that told of it, for the log.
--- a/indigoworks/rowstore/store_health.py
+++ b/indigoworks/rowstore/store_health.py
@@ -38,17 +38,17 @@
         self._last_trouble_s: float | None = None
         self._troubles: deque[StoreTrouble] = deque(maxlen=REMEMBERED_TROUBLES)
 
-    def note_answer(self, sent_s: float, store_time_s: float) -> float:
+    def record_response(self, sent_s: float, store_time_s: float) -> float:
         """Take note of an answer to a question that was sent at `sent_s`.
 
         :param store_time_s: reading of the store's steady clock in the answer.
         :returns: the clock reading at which this answer was certainly true.
         """
-        self.eras.note(self.eras.current)
+        self.eras.record_era(self.eras.current)
         # The moment of the headers would not do for the receipt: a store may send them before it
         # reads its clock.
         now_s = self._clock.now()
-        self._offset.note(sent_s, now_s, store_time_s)
+        self._offset.record_reading(sent_s, now_s, store_time_s)
         low_s = self._offset.low_s(now_s)
         true_at_s = sent_s if low_s is None else max(sent_s, store_time_s + low_s)
         true_at_s = min(true_at_s, now_s)
@@ -64,7 +64,7 @@
         self._offset.forget()
         self._append(StoreTrouble(self._clock.now()))
 
-    def note_relayed(self, proof_s: float, trouble_s: float) -> None:
+    def record_relayed(self, proof_s: float, trouble_s: float) -> None:
         """Take what another gateway says of its own answers and troubles.
 
         :param proof_s: clock reading of its newest answer.
@@ -74,9 +74,9 @@
             self._proof_s = proof_s
         last_s = float("-inf") if self._last_trouble_s is None else self._last_trouble_s
         if trouble_s > last_s + SAME_TROUBLE_S:
-            self._append(StoreTrouble(trouble_s, told_s=self._clock.now()))
+            self._append(StoreTrouble(trouble_s, reported_s=self._clock.now()))
 
-    def note_trouble(self, call: str, reason: str, at_s: float | None = None) -> None:
+    def record_trouble(self, call: str, reason: str, at_s: float | None = None) -> None:
         """Take note that a call was not answered, refused, or answered late.
 
         :param at_s: clock reading when a late answer began to come: its last byte may come much
@@ -112,7 +112,7 @@
         """Return the clock reading of the last trouble; None: there was none."""
         return self._last_trouble_s
 
-    def last_trouble_before(self, at_s: float, told_by_s: float) -> float | None:
+    def last_trouble_before(self, at_s: float, reported_by_s: float) -> float | None:
         """Return the clock reading of the last trouble up to `at_s`; None: none is remembered.
 
         :param told_by_s: troubles of which another gateway told later than that do not count.
@@ -121,7 +121,8 @@
             (
                 each.at_s
                 for each in self._troubles
-                if each.at_s <= at_s and (each.told_s is None or each.told_s <= told_by_s)
+                if each.at_s <= at_s
+                and (each.reported_s is None or each.reported_s <= reported_by_s)
             ),
             default=None,
         )
--- a/indigoworks/rowstore/store_trouble.py
+++ b/indigoworks/rowstore/store_trouble.py
@@ -12,4 +12,4 @@
     """
 
     at_s: float
-    told_s: float | None = None
+    reported_s: float | None = None
--- a/indigoworks/rowstore/table_follower.py
+++ b/indigoworks/rowstore/table_follower.py
@@ -74,7 +74,7 @@
         """Return the version of the store up to which all rows are known here."""
         return self._version or NO_VERSION
 
-    def ask_anew(self) -> None:
+    def request_reread(self) -> None:
         """Ask anew: the answer that is waited for may be lost, or long in coming.
 
         The part is read whole beside the step of the feed that is under way; the first answer of
@@ -150,7 +150,7 @@
             rows=len(answer.rows),
             value_bytes=value_bytes,
             asked_ago_s=round(now_s - asked_s, 3),
-            true_ago_s=round(now_s - answer.true_at_s, 3),
+            true_ago_s=round(now_s - answer.as_of_s, 3),
         )
 
     async def _read_when_doubted(self) -> Result[Rows, StoreError]:
@@ -188,4 +188,4 @@
     def _note(self, answer: Rows) -> None:
         self._version = max(self.version, answer.version)
         if self._on_proof is not None:
-            self._on_proof(answer.true_at_s)
+            self._on_proof(answer.as_of_s)
--- a/indigoworks/servers/cold_servers.py
+++ b/indigoworks/servers/cold_servers.py
@@ -39,7 +39,7 @@
         self._limits = limits
         self._longest_s = max((each.cold_s for each in limits.values()), default=0.0)
 
-    def note_told(self, server_id: str, left_s: float) -> None:
+    def record_reported(self, server_id: str, left_s: float) -> None:
         """Take a server's own word on how much longer it is cold; 0: it is not."""
         if left_s > 0:
             self._until_s[server_id] = self._clock.now() + left_s
--- a/indigoworks/servers/replaced_servers.py
+++ b/indigoworks/servers/replaced_servers.py
@@ -2,7 +2,7 @@
 
 from eliot import log_message
 
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 
 
 class ReplacedServers:
@@ -10,17 +10,17 @@
 
     def __init__(self) -> None:
         self._replaced: set[str] = set()
-        self._told: set[tuple[str, ReplacementSign]] = set()
+        self._told: set[tuple[str, ReplacementEvidence]] = set()
 
     def __contains__(self, server_id: str) -> bool:
         return server_id in self._replaced
 
-    def add(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
+    def add(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
         """Take note that another server answers at the address of `server_id`."""
         self._replaced.add(server_id)
         self.tell(server_id, by_server_id, sign)
 
-    def tell(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
+    def tell(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
         """Write that another server has taken the address of `server_id`."""
         if (server_id, sign) not in self._told:
             self._told.add((server_id, sign))
--- a/indigoworks/servers/replacement_sign.py
+++ b/indigoworks/servers/replacement_evidence.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class ReplacementSign(Enum):
+class ReplacementEvidence(Enum):
     """Signs by which a server counts as gone, for the log."""
 
     ORDER = "order"
--- a/indigoworks/servers/server_rests.py
+++ b/indigoworks/servers/resting_servers.py
@@ -16,7 +16,7 @@
 turned away for a reason of its own, and its word would take the server from everyone."""
 
 
-class ServerRests:
+class RestingServers:
     """Wishes of servers for rest, as they were told to this process and to its peers.
 
     What was told to this process binds it. What was told to peers says which servers are better
@@ -37,7 +37,7 @@
 
     # ---- changes ----
 
-    def note(self, server: ServerRecord, rest_s: float) -> None:
+    def record(self, server: ServerRecord, rest_s: float) -> None:
         """Take the wish of a server for `rest_s` seconds of rest from now on."""
         left_s = min(rest_s, MAX_REST_S)
         known_left_s = self.left_s(server.server_id)
@@ -55,7 +55,7 @@
         )
         self.on_change()
 
-    def note_told(self, server: ServerRecord, tellers: Iterable[int], left_s: float) -> None:
+    def record_from_peer(self, server: ServerRecord, tellers: Iterable[int], left_s: float) -> None:
         """Take from a peer that a server asked other gateways, `tellers`, for rest."""
         if left_s <= 0:
             return
--- a/indigoworks/servers/server_word.py
+++ b/indigoworks/servers/self_reported_load.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerWord:
+class SelfReportedLoad:
     """Load of a server at the moment of one of its answers, from all callers together.
 
     :ivar running: requests that it works on.
--- a/indigoworks/servers/server_limits.py
+++ b/indigoworks/servers/server_limits.py
@@ -57,11 +57,11 @@
 
     # ---- changes ----
 
-    def note(self, server: ServerRecord, per_s: float) -> None:
+    def record(self, server: ServerRecord, per_s: float) -> None:
         """Take the limit that a server names in an answer to this process."""
         self._set(server, per_s, self._clock.now(), is_told=False)
 
-    def note_none(self, server: ServerRecord) -> None:
+    def record_no_limit(self, server: ServerRecord) -> None:
         """Take an answer to this process that names no limit."""
         known = self._heard.get(server.server_id)
         now_s = self._clock.now()
@@ -69,7 +69,7 @@
             return
         self._set(server, None, now_s, is_told=False)
 
-    def take_told(self, server: ServerRecord, word: LimitWord) -> None:
+    def record_from_peer(self, server: ServerRecord, word: LimitWord) -> None:
         """Take what a peer knows.
 
         A word must be newer than the known one by DOUBT_S: ages grow inexact on their way, and two
@@ -100,7 +100,7 @@
         """Tell whether any server names a limit: a quick look that spares the one at each."""
         return self._limited > 0
 
-    def has_words(self) -> bool:
+    def has_reported(self) -> bool:
         """Tell whether there is anything to tell peers."""
         return bool(self._heard)
 
@@ -131,7 +131,7 @@
         """Return the requests a second that servers take, of those that name a limit."""
         return {each: known.per_s for each, known in self._heard.items() if known.per_s is not None}
 
-    def words(self) -> Iterable[tuple[str, LimitWord]]:
+    def reported_limits(self) -> Iterable[tuple[str, LimitWord]]:
         """Return the servers with the newest word of each."""
         now_s = self._clock.now()
         return [
--- a/indigoworks/servers/server_list.py
+++ b/indigoworks/servers/server_list.py
@@ -9,7 +9,7 @@
 from indigoworks.rowstore.store_version import StoreVersion
 from indigoworks.servers.cold_servers import ColdServers
 from indigoworks.servers.replaced_servers import ReplacedServers
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_notice import ServerNotice
 from indigoworks.servers.server_notices import ServerNotices
 from indigoworks.servers.server_record import ServerRecord
@@ -84,7 +84,7 @@
             self._replaced.forget(record.server_id)
         self._listed[record.server_id] = record
         self._vanished.pop(record.server_id, None)
-        self.cold.note_told(record.server_id, record.warm_up_left_s)
+        self.cold.record_reported(record.server_id, record.warm_up_left_s)
         self._first_versions.setdefault(record.server_id, record.version)
         self._by_service.setdefault(record.service, {})[record.server_id] = record
         self._services_at[record.address.host] = record.service
@@ -109,21 +109,21 @@
         for server_id in [each for each in self._listed if each not in server_ids]:
             self.remove(server_id)
 
-    def note_replaced(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
+    def record_replaced(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
         """Take note that another server answers at the address of `server_id`: it is gone."""
         self._replaced.add(server_id, by_server_id, sign)
 
-    def take_notice(self, server_id: str, notice: ServerNotice) -> None:
+    def record_notice(self, server_id: str, notice: ServerNotice) -> None:
         """Take what a server asks for in an answer."""
         record = self.get(server_id)
         if record is not None:
-            self.notices.take(record, notice)
+            self.notices.record(record, notice)
 
-    def take_no_limit(self, server_id: str) -> None:
+    def record_no_limit(self, server_id: str) -> None:
         """Take note that an answer of a server names no limit."""
         record = self.get(server_id)
         if record is not None:
-            self.notices.limits.note_none(record)
+            self.notices.limits.record_no_limit(record)
 
     # ---- questions ----
 
@@ -135,7 +135,7 @@
         holder = None if record is None else self.holder_of_address(record)
         if holder is None:
             return False
-        self._replaced.tell(server_id, holder.server_id, ReplacementSign.LIST)
+        self._replaced.tell(server_id, holder.server_id, ReplacementEvidence.LIST)
         return True
 
     def is_listed(self, server_id: str) -> bool:
@@ -282,7 +282,7 @@
         # A trouble of which a relay tells after the entry vanished may be that of its own path
         # alone: the server has been taken for leaving, and stays so.
         trouble_s = self._health.last_trouble_before(
-            vanished[1] + LATE_TROUBLE_S, told_by_s=vanished[1]
+            vanished[1] + LATE_TROUBLE_S, reported_by_s=vanished[1]
         )
         if trouble_s is None or vanished[1] - trouble_s > self._settle_s:
             return False
--- a/indigoworks/servers/server_notices.py
+++ b/indigoworks/servers/server_notices.py
@@ -5,10 +5,10 @@
 from eliot import log_message
 
 from indigoworks.common.clock import Clock
+from indigoworks.servers.resting_servers import RestingServers
 from indigoworks.servers.server_limits import ServerLimits
 from indigoworks.servers.server_notice import ServerNotice, UnreadableHeader
 from indigoworks.servers.server_record import ServerRecord
-from indigoworks.servers.server_rests import ServerRests
 
 MAX_LOGGED_TEXT = 80
 """Characters of an unreadable wish that a line names."""
@@ -24,24 +24,24 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.rests = ServerRests(clock)
+        self.rests = RestingServers(clock)
         self.limits = ServerLimits(clock)
         self._leaving_s: dict[str, float] = {}
         self._heard_leaving: set[str] = set()
         self._unreadable: dict[str, set[str]] = {}
         self.on_leaving: Callable[[], None] = _nothing
 
-    def take(self, server: ServerRecord, notice: ServerNotice, is_own: bool = True) -> None:
+    def record(self, server: ServerRecord, notice: ServerNotice, is_own: bool = True) -> None:
         """Take what a server asks for in an answer.
 
         :param is_own: False: a peer tells of it.
         """
         if notice.rest_s > 0:
-            self.rests.note(server, notice.rest_s)
+            self.rests.record(server, notice.rest_s)
         if notice.is_leaving:
             self._note_leaving(server, is_own)
         if notice.limit_per_s is not None:
-            self.limits.note(server, notice.limit_per_s)
+            self.limits.record(server, notice.limit_per_s)
         for each in notice.unreadable:
             self._note_unreadable(server, each)
 
@@ -62,7 +62,7 @@
         """Return how many servers are known to have said that they leave."""
         return len(self._leaving_s)
 
-    def told_leaving_within(self, duration_s: float) -> list[str]:
+    def said_leaving_within(self, duration_s: float) -> list[str]:
         """Return the servers that told this process itself so short a time ago."""
         return [each for each in self._heard_leaving if self.leaving_for_s(each) < duration_s]
 
--- a/indigoworks/servers/server_source.py
+++ b/indigoworks/servers/server_source.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from indigoworks.servers.replacement_sign import ReplacementSign
+from indigoworks.servers.replacement_evidence import ReplacementEvidence
 from indigoworks.servers.server_record import ServerRecord
 
 
@@ -65,7 +65,7 @@
         """Tell whether the server's process is known to have ended."""
         ...
 
-    def note_replaced(self, server_id: str, by_server_id: str, sign: ReplacementSign) -> None:
+    def record_replaced(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
         """Take note that another server answers at the address of `server_id`.
 
         :param by_server_id: empty where the answer does not name it.
--- a/indigoworks_lab/backend/data_handler.py
+++ b/indigoworks_lab/backend/data_handler.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks_lab.backend.answer_fate import AnswerFate
 from indigoworks_lab.backend.json_handler import JsonHandler
@@ -23,7 +23,7 @@
         """Take the server, and whether it has too many connections now."""
         super().initialize(server)
         self._is_over_limit = is_over_limit
-        self._execution: asyncio.Task[BackendAnswer] | None = None
+        self._execution: asyncio.Task[BackendResponse] | None = None
 
     async def get(self) -> None:
         """Run the request and answer it."""
@@ -61,13 +61,13 @@
         else:
             await self._break_off(answer, fate)
 
-    def _send_whole(self, answer: BackendAnswer) -> None:
+    def _send_whole(self, answer: BackendResponse) -> None:
         self.set_status(answer.status)
         for name, value in answer.headers:
             self.set_header(name, value)
         self.finish(answer.body)
 
-    async def _break_off(self, answer: BackendAnswer, fate: AnswerFate) -> None:
+    async def _break_off(self, answer: BackendResponse, fate: AnswerFate) -> None:
         stream = self.detach()
         try:
             if fate is AnswerFate.CUT:
@@ -78,7 +78,7 @@
             stream.close()
 
 
-def _half_of(answer: BackendAnswer) -> bytes:
+def _half_of(answer: BackendResponse) -> bytes:
     lines = [f"HTTP/1.1 {answer.status} {responses.get(answer.status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
     lines.append(f"Content-Length: {len(answer.body)}")
--- a/indigoworks_lab/backend/stand_in_answers.py
+++ b/indigoworks_lab/backend/stand_in_answers.py
@@ -3,7 +3,7 @@
 import json
 
 from indigoworks.backend import http_header_names as names
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks_lab.backend.answer_body import AnswerBody
 from indigoworks_lab.backend.execution_outcome import ExecutionOutcome
@@ -16,19 +16,19 @@
 JSON_HEADER = ("Content-Type", "application/json")
 
 
-def completed(identity: StandInIdentity, request: OwnedRequest, state: KeyState) -> BackendAnswer:
+def completed(identity: StandInIdentity, request: OwnedRequest, state: KeyState) -> BackendResponse:
     """Return the answer to a request that ran."""
     body = AnswerBody.of(identity, request, state).model_dump_json().encode()
-    return BackendAnswer(STATUS_OK, _headers(request), body)
+    return BackendResponse(STATUS_OK, _headers(request), body)
 
 
-def wrong_owner(request: OwnedRequest) -> BackendAnswer:
+def wrong_owner(request: OwnedRequest) -> BackendResponse:
     """Return the refusal of a request whose key the server does not own under its token."""
     body = _refusal("wrong_owner", "The server does not own the key under this token.")
-    return BackendAnswer(STATUS_WRONG_OWNER, _headers(request), body, is_wrong_owner=True)
+    return BackendResponse(STATUS_WRONG_OWNER, _headers(request), body, is_wrong_owner=True)
 
 
-def shed(request: OwnedRequest, retry_after_s: float, reason: ExecutionOutcome) -> BackendAnswer:
+def shed(request: OwnedRequest, retry_after_s: float, reason: ExecutionOutcome) -> BackendResponse:
     """Return the refusal of a request for load, or because its deadline has passed."""
     headers = (
         *_headers(request),
@@ -36,7 +36,7 @@
         (names.RETRY_AFTER, f"{retry_after_s:g}"),
     )
     body = _refusal(reason.value, "The server did not run the request.")
-    return BackendAnswer(STATUS_SHED, headers, body, is_shed=True, retry_after_s=retry_after_s)
+    return BackendResponse(STATUS_SHED, headers, body, is_shed=True, retry_after_s=retry_after_s)
 
 
 def _headers(request: OwnedRequest) -> tuple[tuple[str, str], ...]:
--- a/indigoworks_lab/backend/stand_in_server.py
+++ b/indigoworks_lab/backend/stand_in_server.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendRefused
 from indigoworks.backend.granted_range import GrantedRange
@@ -57,7 +57,7 @@
         self._service_time = ServiceTime(profile, random)
         self._store = KeyValueStore()
         self._running_places: list[int] = []
-        self._runs: set[asyncio.Task[BackendAnswer]] = set()
+        self._runs: set[asyncio.Task[BackendResponse]] = set()
 
     def status(self) -> BackendStatus:
         """Return the status, with a reading of the server's clock taken now."""
@@ -97,7 +97,7 @@
         """Number of requests that run."""
         return len(self._running_places)
 
-    async def execute(self, request: OwnedRequest) -> BackendAnswer:
+    async def execute(self, request: OwnedRequest) -> BackendResponse:
         """Run one request, or answer why it was not run.
 
         Cancelling the call stops a request that has no slot yet; one that has runs to its end.
@@ -133,7 +133,7 @@
             return AnswerFate.CUT
         return AnswerFate.WHOLE
 
-    def shed(self, request: OwnedRequest) -> BackendAnswer:
+    def shed(self, request: OwnedRequest) -> BackendResponse:
         """Refuse a request for load without looking at it."""
         return self._not_run(request, ExecutionOutcome.SHED)
 
@@ -144,7 +144,7 @@
             self._record(request, self._clock.now(), ExecutionOutcome.CANCELLED)
             raise
 
-    async def _run(self, request: OwnedRequest, deadline_s: float) -> BackendAnswer:
+    async def _run(self, request: OwnedRequest, deadline_s: float) -> BackendResponse:
         try:
             await self.freeze_gate.wait()
             if self._clock.now() >= deadline_s:
@@ -156,7 +156,7 @@
         finally:
             self._slots.release()
 
-    async def _run_in_slot(self, request: OwnedRequest) -> BackendAnswer:
+    async def _run_in_slot(self, request: OwnedRequest) -> BackendResponse:
         started_s = self._clock.now()
         if self.faults.ends_under and self.faults.ends_under in request.path:
             self._record(request, started_s, ExecutionOutcome.ENDED_SERVER)
@@ -171,7 +171,7 @@
         finally:
             self._running_places.remove(place)
 
-    def _take_effect(self, request: OwnedRequest, started_s: float) -> BackendAnswer:
+    def _take_effect(self, request: OwnedRequest, started_s: float) -> BackendResponse:
         # Check and effect are one step: a server that slept past its lease changes nothing.
         if self._is_fenced(request, is_running=True):
             self._record(request, started_s, ExecutionOutcome.FENCED)
@@ -210,7 +210,7 @@
             return False
         return any(granted.start <= place <= granted.end for place in self._running_places)
 
-    def _not_run(self, request: OwnedRequest, outcome: ExecutionOutcome) -> BackendAnswer:
+    def _not_run(self, request: OwnedRequest, outcome: ExecutionOutcome) -> BackendResponse:
         self._record(request, self._clock.now(), outcome)
         if outcome is ExecutionOutcome.FENCED:
             return answers.wrong_owner(request)
--- a/indigoworks_lab/bench/baseline/hashing_router.py
+++ b/indigoworks_lab/bench/baseline/hashing_router.py
@@ -4,8 +4,8 @@
 
 from result import Ok
 
-from indigoworks.backend.backend_answer import BackendAnswer
 from indigoworks.backend.backend_requests import BackendRequests
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.errors import BackendUnreachable
 from indigoworks.backend.owned_request import OwnedRequest
 from indigoworks.common.ring.key_hash import key_hash
@@ -94,7 +94,7 @@
         return ring.owners(place, count) if ring is not None else []
 
 
-def _response(answer: BackendAnswer) -> CallerResponse:
+def _response(answer: BackendResponse) -> CallerResponse:
     outcome = Outcome.NOT_RUN if answer.is_shed else Outcome.COMPLETED
     return CallerResponse(answer.status, answer.headers, answer.body, outcome)
 
--- a/indigoworks_lab/bench/deployment/backend_link.py
+++ b/indigoworks_lab/bench/deployment/backend_link.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok, Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendAnswerLost, BackendError, BackendUnreachable
 from indigoworks.backend.http_backend_requests import CONNECTIONS_PER_SERVER
@@ -32,7 +32,7 @@
 
     async def send(
         self, address: Address, request: OwnedRequest
-    ) -> Result[BackendAnswer, BackendError]:
+    ) -> Result[BackendResponse, BackendError]:
         """Send one request and wait for its whole answer."""
         server = self._registry.at(address)
         connections = self._connections_to(server)
@@ -72,7 +72,7 @@
         await asyncio.sleep(self._delay_s(server))
         return Ok(renewed.unwrap()) if renewed.is_ok() else Err(renewed.unwrap_err())
 
-    async def _exchange(self, server: BenchServer, request: OwnedRequest) -> BackendAnswer:
+    async def _exchange(self, server: BenchServer, request: OwnedRequest) -> BackendResponse:
         await asyncio.sleep(self._delay_s(server))
         await _wait_forever_if_lost(server)
         answer = await server.execute(request)
--- a/indigoworks_lab/control_simulation/node_exchange.py
+++ b/indigoworks_lab/control_simulation/node_exchange.py
@@ -4,7 +4,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
-from indigoworks.exchange.hub_choice import HubChoice
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_table import PeerTable
 from indigoworks.exchange.report_sender import ReportSender, ReportSource
@@ -30,7 +30,7 @@
         self._node = node
         self._links = links
         self._clock = clock
-        choice = HubChoice(node, zone, CAPACITY, directory, table, source.leader_node, clock)
+        choice = HubSelector(node, zone, CAPACITY, directory, table, source.leader_node, clock)
         self._sender = ReportSender(zone, directory, table, choice, source, self._send)
 
     async def run(self) -> None:
@@ -46,7 +46,7 @@
     async def receive(self, delay_s: float, datagram: bytes) -> None:
         """Take a datagram that arrives after `delay_s`."""
         await asyncio.sleep(delay_s)
-        self._sender.take(datagram)
+        self._sender.handle_datagram(datagram)
 
     def _send(self, datagram: bytes, address: Address) -> None:
         self._links.send(self._node, datagram, (address.host, address.port))
--- a/indigoworks_lab/control_simulation/node_store.py
+++ b/indigoworks_lab/control_simulation/node_store.py
@@ -128,18 +128,18 @@
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
                 answer = await future
         except TimeoutError:
-            self._health.note_trouble(name, "unreachable")
+            self._health.record_trouble(name, "unreachable")
             return Err(StoreUnreachable("No answer came.", REMEDY))
-        eras.note(answer.era)
+        eras.record_era(answer.era)
         if answer.era < eras.current or asked_in not in (None, answer.era):
             return Err(_era_ended())
         if answer.result is None:
-            self._health.note_trouble(name, "refused")
+            self._health.record_trouble(name, "refused")
             return Err(StoreRefused("Nothing was done.", REMEDY))
-        true_at_s = self._health.note_answer(sent_s, answer.store_time_s)
+        true_at_s = self._health.record_response(sent_s, answer.store_time_s)
         self._watcher.answered(self._boot, answer.made_s)
         if self._clock.now() - sent_s > wait_s + SLOW_CALL_S:
-            self._health.note_trouble(name, "slow")
+            self._health.record_trouble(name, "slow")
         if isinstance(answer.result, Err):
             return answer.result
         return Ok((answer.result.unwrap(), true_at_s))
--- a/indigoworks_lab/crash_simulation/broker_port.py
+++ b/indigoworks_lab/crash_simulation/broker_port.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 
 from indigoworks.common.address import Address
-from indigoworks.exchange.datagram_port import DatagramPort
+from indigoworks.exchange.datagram_endpoint import DatagramEndpoint
 
 TakeDatagram = Callable[[bytes, Address], None]
 
 
-class BrokerPort(DatagramPort):
-    """Does what a `DatagramPort` does, over the links of the simulation.
+class BrokerPort(DatagramEndpoint):
+    """Does what a `DatagramEndpoint` does, over the links of the simulation.
 
     :param carry: sends a datagram from the first address to the second.
     """
--- a/indigoworks_lab/crash_simulation/build_gateway.py
+++ b/indigoworks_lab/crash_simulation/build_gateway.py
@@ -85,7 +85,7 @@
     clock = LoopClock()
     health = StoreHealth(clock)
     # The store's clock is that of the simulation.
-    health.note_answer(clock.now(), clock.now())
+    health.record_response(clock.now(), clock.now())
     return PlatformPorts(
         names=NAMES,
         store=store,
--- a/indigoworks_lab/crash_simulation/crash_gateway.py
+++ b/indigoworks_lab/crash_simulation/crash_gateway.py
@@ -10,8 +10,8 @@
 from indigoworks.common.coalesced_call import CoalescedCall
 from indigoworks.common.logging.line_rates import LineRates
 from indigoworks.common.metrics import Metrics
-from indigoworks.exchange.datagram_port import DatagramPort
-from indigoworks.exchange.hub_choice import HubChoice
+from indigoworks.exchange.datagram_endpoint import DatagramEndpoint
+from indigoworks.exchange.hub_selector import HubSelector
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_report import PeerReport
@@ -58,9 +58,9 @@
         self.platform = PlatformSubsystem(ports, settings, clock)
         self.broker_port: BrokerPort | None = None
 
-        def open_datagrams(own: Address, take: TakeDatagram) -> DatagramPort:
+        def open_datagrams(own: Address, take: TakeDatagram) -> DatagramEndpoint:
             if send_to_broker is None:
-                return DatagramPort(own, take)
+                return DatagramEndpoint(own, take)
             self.broker_port = BrokerPort(own, take, partial(send_to_broker, self))
             return self.broker_port
 
@@ -80,7 +80,7 @@
             open_datagrams,
         )
         self.platform.on_servers_changed(self.side.servers_changed)
-        choice = HubChoice(
+        choice = HubSelector(
             self.node,
             address.zone,
             address.capacity,
--- a/indigoworks_lab/load/backend_target.py
+++ b/indigoworks_lab/load/backend_target.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendUnreachable
 from indigoworks.backend.http_backend_requests import HttpBackendRequests
@@ -57,7 +57,7 @@
         )
 
 
-def _outcome(request: LoadRequest, answer: BackendAnswer) -> LoadOutcome:
+def _outcome(request: LoadRequest, answer: BackendResponse) -> LoadOutcome:
     if answer.is_wrong_owner or answer.is_shed:
         return LoadOutcome.NOT_RUN
     if answer.status == HTTPStatus.OK and is_own_answer(request, answer.body):
--- a/indigoworks_lab/load/router_target.py
+++ b/indigoworks_lab/load/router_target.py
@@ -5,8 +5,8 @@
 from itertools import cycle
 
 from indigoworks.backend.errors import BackendUnreachable
-from indigoworks.backend.http_answer import HttpAnswer
 from indigoworks.backend.http_message import HttpMessage
+from indigoworks.backend.http_response import HttpResponse
 from indigoworks.backend.http_sender import HttpSender
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
@@ -58,7 +58,7 @@
     return HttpMessage(request.method, request.path, headers, request.body)
 
 
-def _outcome(request: LoadRequest, answer: HttpAnswer) -> LoadOutcome:
+def _outcome(request: LoadRequest, answer: HttpResponse) -> LoadOutcome:
     told = OUTCOMES.get(answer.header(caller_headers.OUTCOME) or "")
     if told is not None:
         return told
--- a/indigoworks_lab/simulation/broken_rules/control_log_rules.py
+++ b/indigoworks_lab/simulation/broken_rules/control_log_rules.py
@@ -4,8 +4,8 @@
 
 from result import Ok, Result
 
+from indigoworks.controllog.leader_lease_monitor import LeaderLeaseMonitor
 from indigoworks.controllog.leader_tenure import LeaderTenure
-from indigoworks.controllog.leader_watch import LeaderWatch
 from indigoworks.controllog.log_rows import LogRows
 from indigoworks.platform.errors import PlatformError
 from indigoworks.platform.row_write import RowWrite
@@ -84,7 +84,7 @@
     BrokenRule(
         "take-running-lease",
         "A challenger takes the leader's row without waiting for the lease to end.",
-        lambda: [Replacement(LeaderWatch, "has_lapsed", lambda *_: True)],
+        lambda: [Replacement(LeaderLeaseMonitor, "has_lapsed", lambda *_: True)],
         "agreement",
         ("one leader",),
         seed=3,
--- a/indigoworks_lab/simulation/broken_rules/router_rules.py
+++ b/indigoworks_lab/simulation/broken_rules/router_rules.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.router.dispatcher import ServerDispatcher
 from indigoworks.router.errors import AnswerLost, OwnerUnreachable, RouterError
 from indigoworks.router.request_path import RequestPath
@@ -30,10 +30,10 @@
     return outcome.map(_half)
 
 
-def _half(answer: BackendAnswer) -> BackendAnswer:
+def _half(answer: BackendResponse) -> BackendResponse:
     if len(answer.body) % 16:
         return answer
-    return BackendAnswer(answer.status, answer.headers, answer.body[: len(answer.body) // 2])
+    return BackendResponse(answer.status, answer.headers, answer.body[: len(answer.body) // 2])
 
 
 async def _end_at_once(router: Router) -> None:
--- a/indigoworks_lab/simulation/ports/backend_ports.py
+++ b/indigoworks_lab/simulation/ports/backend_ports.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendAnswerLost, BackendError, BackendUnreachable
 from indigoworks.backend.lease_renewal import LeaseRenewal
@@ -71,13 +71,13 @@
 
     async def send(
         self, address: Address, request: OwnedRequest
-    ) -> Result[BackendAnswer, BackendError]:
+    ) -> Result[BackendResponse, BackendError]:
         """Send one request and wait for its whole answer."""
         server = self._backends.at(address)
         if self._on_send is not None:
             self._on_send(request)
 
-        async def operation() -> BackendAnswer:
+        async def operation() -> BackendResponse:
             return await _core(server).execute(request)
 
         outcome = await self._backends.request_calls.call(
--- a/indigoworks_lab/simulation/ports/recording_server.py
+++ b/indigoworks_lab/simulation/ports/recording_server.py
@@ -4,7 +4,7 @@
 
 from result import Result
 
-from indigoworks.backend.backend_answer import BackendAnswer
+from indigoworks.backend.backend_response import BackendResponse
 from indigoworks.backend.backend_status import BackendStatus
 from indigoworks.backend.errors import BackendRefused
 from indigoworks.backend.lease_renewal import LeaseRenewal
@@ -87,7 +87,7 @@
         self._recorder.history.spans.append(span)
         return span
 
-    async def _run_in_slot(self, request: OwnedRequest) -> BackendAnswer:
+    async def _run_in_slot(self, request: OwnedRequest) -> BackendResponse:
         execution = Execution(
             request.request_id,
             request.service,
@@ -101,7 +101,7 @@
         self._running[(request.request_id, self._clock.now())] = execution
         return await super()._run_in_slot(request)
 
-    def _take_effect(self, request: OwnedRequest, started_s: float) -> BackendAnswer:
+    def _take_effect(self, request: OwnedRequest, started_s: float) -> BackendResponse:
         answer = super()._take_effect(request, started_s)
         execution = self._running.pop((request.request_id, started_s))
         if not answer.is_wrong_owner:
