--- a/indigoworks/quarantine/__init__.py
+++ b/indigoworks/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Memory of requests under which servers ended, shared by all gateways."""
+"""Tracking and refusal of requests that crash servers, shared by all gateways."""
--- a/indigoworks/quarantine/crash_ids.py
+++ b/indigoworks/quarantine/crash_ids.py
@@ -1,83 +1,88 @@
-"""Ends of servers under tries of a request, counted so that one cause counts once."""
+"""Ids of server crashes during attempts of a request, so that crashes of one cause count once.
+
+A crash id is a number: the time window of the crash, and a checksum of the server id.
+"""
 
 from collections.abc import Iterable
 
 from indigoworks.exchange.server_load import server_checksum
 
 CRASH_WINDOW_S = 1.0
-"""Ends within one slot of the store's steady clock count once. Servers of a service or a zone end
-together for other reasons, with a page in hand at many of them that many read. A request that comes
-often still meets three slots within 3 s of its first end, and the users allow three runs later than
-3 s after the third."""
+"""Crashes within one window of the store's steady clock count once: servers of a service or a zone
+may crash together for other reasons, many of them while serving the same popular page. A frequent
+harmful request still crashes servers in three windows within 3 s of its first crash; the users'
+requirement allows three runs that begin later than 3 s after the third."""
 
 LATE_DETECTION_WINDOWS = 2
-"""A server that falls silent is noticed here up to 1.3 s later than there (patience and two
-connections): ends of one id within so many slots are one, later ones are those of two lives."""
+"""One gateway may detect a server that stopped responding up to 1.3 s later than another (timeout
+and two connection attempts): crashes of one server id fewer windows apart are the same crash, later
+ones belong to another incarnation under that id."""
 
 NO_WINDOW = -1
-"""Before all slots."""
+"""Sorts before all windows: no crash is known."""
 
 SERVER_BITS = 32
 MAX_WINDOWS = 8
-"""Slots that are kept of one request; more tell nothing new."""
+"""Windows kept for one request; more add no information."""
 
 
-def make_crash_id(slot: int, server_id: str) -> int:
-    """Return the number that stands for the end of a server within a slot: the same at all gateways
-    that saw it in this slot."""
-    return slot << SERVER_BITS | server_checksum(server_id)
+def make_crash_id(window: int, server_id: str) -> int:
+    """Return the id of a server crash within a window; the same on all gateways that detected the
+    crash in this window."""
+    return window << SERVER_BITS | server_checksum(server_id)
 
 
 def window_of(at_s: float) -> int:
-    """Return the slot of a reading of the store's steady clock."""
+    """Return the window of a reading of the store's steady clock."""
     return int(at_s / CRASH_WINDOW_S)
 
 
-def make_shared_crash_id(at_s: float, known_slot: int, server_id: str) -> int:
-    """Return the number of an end at `at_s` under a try of any caller, sent when an end in
-    `known_slot` was known: it is in a later slot, for they have no common cause.
+def make_shared_crash_id(at_s: float, known_window: int, server_id: str) -> int:
+    """Return the id of a crash at `at_s` during an attempt of any caller.
 
-    It is one ahead of the clock at most. Servers that end for other reasons may do so one after the
-    other within a second, and a page that many read may be sent to each of them in turn: three
-    slots still take more than a second.
+    The attempt was sent when a crash in `known_window` was known. The crashes have no common cause,
+    so this one gets a later window, at most one ahead of the clock: servers that crash for other
+    reasons may do so one after another within a second, and a popular page may be sent to each of
+    them in turn; three windows still take more than a second.
     """
-    slot = window_of(at_s)
-    if known_slot != NO_WINDOW:
-        slot = max(slot, min(known_slot, slot) + 1)
-    return make_crash_id(slot, server_id)
+    window = window_of(at_s)
+    if known_window != NO_WINDOW:
+        window = max(window, min(known_window, window) + 1)
+    return make_crash_id(window, server_id)
 
 
-def make_caller_crash_id(at_s: float, known_slot: int, server_id: str) -> int:
-    """Return the same under a try of one caller, whose tries may follow one another at once.
+def make_caller_crash_id(at_s: float, known_window: int, server_id: str) -> int:
+    """Return the id of a crash at `at_s` during an attempt of one caller.
 
-    A server that is back under its id ends again under such a try: that is another end.
+    Attempts of one caller may follow each other immediately, so windows may run ahead of the clock.
+    A server that restarted under the same id may crash again: that is another crash.
     """
-    slot = window_of(at_s)
-    if known_slot < slot:
-        return make_crash_id(slot, server_id)
-    return make_crash_id(known_slot + 1, f"{server_id}/{known_slot + 1}")
+    window = window_of(at_s)
+    if known_window < window:
+        return make_crash_id(window, server_id)
+    return make_crash_id(known_window + 1, f"{server_id}/{known_window + 1}")
 
 
-def last_window(ends: Iterable[int]) -> int:
-    """Return the last slot in which a server ended; NO_SLOT: none did."""
-    return max((end >> SERVER_BITS for end in ends), default=NO_WINDOW)
+def last_window(crash_ids: Iterable[int]) -> int:
+    """Return the last window with a crash; NO_WINDOW if there is none."""
+    return max((crash_id >> SERVER_BITS for crash_id in crash_ids), default=NO_WINDOW)
 
 
-def count_crashes(ends: Iterable[int]) -> int:
-    """Return in how many slots a server ended, each end counted in the first of its slots."""
-    slots: set[int] = set()
+def count_crashes(crash_ids: Iterable[int]) -> int:
+    """Return the number of windows with a crash, each crash counted in its first window only."""
+    windows: set[int] = set()
     counted: dict[int, int] = {}
-    for end in sorted(ends):
-        slot, server = end >> SERVER_BITS, end % (1 << SERVER_BITS)
-        if server not in counted or slot - counted[server] >= LATE_DETECTION_WINDOWS:
-            counted[server] = slot
-            slots.add(slot)
-    return len(slots)
-
-
-def first_crash_per_window(ends: Iterable[int]) -> frozenset[int]:
-    """Return one end of each of the first MAX_SLOTS slots; the same wherever the same are known."""
-    by_slot: dict[int, int] = {}
-    for end in sorted(ends):
-        by_slot.setdefault(end >> SERVER_BITS, end)
-    return frozenset(list(by_slot.values())[:MAX_WINDOWS])
+    for crash_id in sorted(crash_ids):
+        window, server = crash_id >> SERVER_BITS, crash_id % (1 << SERVER_BITS)
+        if server not in counted or window - counted[server] >= LATE_DETECTION_WINDOWS:
+            counted[server] = window
+            windows.add(window)
+    return len(windows)
+
+
+def first_crash_per_window(crash_ids: Iterable[int]) -> frozenset[int]:
+    """Return one crash id for each of the first MAX_WINDOWS windows, chosen deterministically."""
+    by_window: dict[int, int] = {}
+    for crash_id in sorted(crash_ids):
+        by_window.setdefault(crash_id >> SERVER_BITS, crash_id)
+    return frozenset(list(by_window.values())[:MAX_WINDOWS])
--- a/indigoworks/quarantine/doubt.py
+++ b/indigoworks/quarantine/doubt.py
@@ -1,4 +1,4 @@
-"""A sign that a server may have ended under a request."""
+"""An unconfirmed server crash during a request."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Doubt:
-    """A connection broke off under a try of a request; nobody has judged yet whether its server
-    ended.
+    """A connection broke during an attempt of a request, and it is not yet known whether its server
+    crashed.
 
-    :ivar number: random, of 64 bits: names this sign among those of all gateways.
-    :ivar mark: of the request, whoever sends it.
-    :ivar is_lifted: the server turned out to live.
+    :ivar number: random 64-bit id, unique among the doubts of all gateways.
+    :ivar mark: mark of the request, ignoring the caller.
+    :ivar is_lifted: the server turned out to be alive.
     """
 
     number: int
--- a/indigoworks/quarantine/request_content.py
+++ b/indigoworks/quarantine/request_content.py
@@ -1,21 +1,21 @@
-"""What makes two tries the same request."""
+"""Content of a request, by which its attempts are recognized."""
 
 from dataclasses import dataclass, replace
 
 ANY_CALLER = ""
-"""Stands for the caller in what is remembered of a request whoever sends it."""
+"""Caller in content that stands for the attempts of all callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestContent:
-    """The parts of a request that come again with each try of it.
+    """The parts of a request that are the same in each attempt.
 
-    Ids, headers and deadlines differ from try to try and are left out. Counted are the tries of
-    each caller, and, more carefully, those of all: a page that many read must not be refused to all
-    of them for servers that end for other reasons.
+    Ids, headers and deadlines differ between attempts and are left out. Crashes are counted for
+    each caller and, with refusals limited in time, for all callers together: a popular page must
+    not be refused to everyone because servers crash for other reasons.
 
-    :ivar caller: address of the caller; the name of a service where one of its servers calls: such
-        a call comes from another server after the first one has ended.
+    :ivar caller: address of the caller, or the name of its service if a server calls: after a
+        crash such a call comes from another server of that service.
     :ivar target: path and query, as sent.
     """
 
@@ -26,17 +26,17 @@
     body: bytes
 
     def scopes(self) -> tuple["RequestContent", ...]:
-        """Return what a crash is put down to, and what a run that ends well clears: the request,
-        all requests of its caller for its path where it has a query, and the request of any caller.
+        """Return the contents that a crash counts against and a successful run clears.
 
-        A harmful request may come with another query each time. Only while no request for the path
-        is served, whatever its query, crashes of several queries add up.
+        These are the request itself; if it has a query, all requests of the caller for the path;
+        and the request of any caller, which is the last one. A harmful request may have a different
+        query each time: crashes of several queries add up until any request for the path is served.
         """
-        path, mark, _ = self.target.partition("?")
+        path, separator, _ = self.target.partition("?")
         shared = replace(self, caller=ANY_CALLER)
-        return (self, replace(self, target=path), shared) if mark else (self, shared)
+        return (self, replace(self, target=path), shared) if separator else (self, shared)
 
     @property
     def is_shared(self) -> bool:
-        """Tell whether it stands for the tries of all callers."""
+        """Return whether it stands for the attempts of all callers."""
         return self.caller == ANY_CALLER
--- a/indigoworks/quarantine/request_mark.py
+++ b/indigoworks/quarantine/request_mark.py
@@ -1,4 +1,4 @@
-"""A short name of a request's content."""
+"""Mark of a request: a 128-bit fingerprint of its content."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -6,15 +6,15 @@
 from indigoworks.quarantine.request_content import RequestContent
 
 DIGEST_BYTES = 8
-"""Of each of the two: with 64 bits nobody finds another content for the mark of a given one."""
+"""Size of each of the two digests; 64 bits rule out a second preimage in practice."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestMark:
-    """Two digests of a content, so that a body is only hashed where the rest is known already.
+    """Two digests of a content, so that a body is hashed only if the rest is already known.
 
-    :ivar head: of caller, method, host and target; 64 bits.
-    :ivar body: of the body; 64 bits.
+    :ivar head: 64-bit digest of caller, method, host and target.
+    :ivar body: 64-bit digest of the body.
     """
 
     head: int
@@ -22,7 +22,7 @@
 
     @property
     def short(self) -> int:
-        """Return one number of 64 bits for both."""
+        """Return both digests combined in 64 bits."""
         return self.head ^ self.body
 
     def __str__(self) -> str:
@@ -30,7 +30,7 @@
 
 
 def head_of(content: RequestContent) -> int:
-    """Return the digest of all but the body."""
+    """Return the digest of everything except the body."""
     parts = (content.caller, content.method, content.host, content.target)
     return _digest("\0".join(parts).encode("utf-8", "surrogateescape"))
 
@@ -41,7 +41,7 @@
 
 
 def mark_of(content: RequestContent) -> RequestMark:
-    """Return the mark of a content."""
+    """Return the mark of the content."""
     return RequestMark(head_of(content), body_of(content))
 
 
