--- a/features/steps/router_costs_steps.py
+++ b/features/steps/router_costs_steps.py
@@ -84,7 +84,7 @@
     context.messages = []
     add_destinations(context.messages.append)
     try:
-        observer.record_answer(request, CallerResponse(200, (), b"", Outcome.COMPLETED), 0.5)
+        observer.record_response(request, CallerResponse(200, (), b"", Outcome.COMPLETED), 0.5)
     finally:
         remove_destination(context.messages.append)
 
--- a/indigoworks/broker/broker_codec.py
+++ b/indigoworks/broker/broker_codec.py
@@ -146,20 +146,26 @@
     message.is_served = release.is_served
     message.is_unreached = release.is_unreached
     message.has_ended_server = release.has_ended_server
-    if release.word is not None:
-        message.word.running = release.word.running
-        message.word.waiting = release.word.waiting
-        message.word.slots = release.word.slots
-        message.word.pace_percent = round(release.word.pace * PERCENT)
+    if release.server_load is not None:
+        message.word.running = release.server_load.running
+        message.word.waiting = release.server_load.waiting
+        message.word.slots = release.server_load.slots
+        message.word.pace_percent = round(release.server_load.pace * PERCENT)
 
 
 def _decode_release(message: pb.SlotReleaseMessage) -> SlotRelease:
-    word = None
+    server_load = None
     if message.HasField("word"):
-        load = message.word
-        word = SelfReportedLoad(load.running, load.waiting, load.slots, load.pace_percent / PERCENT)
+        reported = message.word
+        server_load = SelfReportedLoad(
+            reported.running, reported.waiting, reported.slots, reported.pace_percent / PERCENT
+        )
     return SlotRelease(
-        message.number, message.is_served, word, message.is_unreached, message.has_ended_server
+        message.number,
+        message.is_served,
+        server_load,
+        message.is_unreached,
+        message.has_ended_server,
     )
 
 
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -81,9 +81,9 @@
 
         :param reporter: boot id of the gateway that sent the release.
         """
-        if release.word is not None:
-            self.server_stats.note_word(server.server_id, release.word)
-            self.load.record_server_load(server.server_id, release.word)
+        if release.server_load is not None:
+            self.server_stats.note_word(server.server_id, release.server_load)
+            self.load.record_server_load(server.server_id, release.server_load)
         if release.is_unreached:
             self.unreachable.record_failure(server.server_id, reporter)
 
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -227,7 +227,7 @@
         return xxhash.xxh64_intdigest("\0".join(parts).encode("utf-8", "surrogateescape"))
 
     def _resting_servers(self, entry: WaitingRequest) -> Sequence[str]:
-        """Return the servers that asked this gateway for a pause; the broker may not know it."""
+        """Return the servers that asked this gateway for rest; the broker may not know it."""
         if not self._servers.has_resting():
             return ()
         usable = self._servers.usable(entry.service)
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -14,7 +14,7 @@
 
 
 SERVER_LOAD_VALID_S = 0.2
-"""Time for which the load that a server states counts: it changes with every request or two."""
+"""Time for which a server's own load report counts: its load changes with every request or two."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,9 +62,9 @@
         if self._clock.now() - self._takeover_began_s > TAKEOVER_S:
             self._is_taking_over = False
 
-    def record_server_load(self, server_id: str, word: SelfReportedLoad) -> None:
-        """Record the load that a server stated: requests beyond granted slots come from others."""
-        requests = word.running + word.waiting - self._granted(server_id)
+    def record_server_load(self, server_id: str, server_load: SelfReportedLoad) -> None:
+        """Record a server's own report: its requests beyond the granted slots come from others."""
+        requests = server_load.running + server_load.waiting - self._granted(server_id)
         if requests > 0:
             self._external[server_id] = _ExternalLoad(
                 requests, self._clock.now() + SERVER_LOAD_VALID_S
--- a/indigoworks/broker/slot_release.py
+++ b/indigoworks/broker/slot_release.py
@@ -10,13 +10,13 @@
     """Releases the slot or lock of the request `number`, or withdraws that request.
 
     :ivar is_served: the server ran the caller's request and answered.
-    :ivar word: load that the server stated with the answer, or None.
+    :ivar word: load that the server reported with its response, or None.
     :ivar has_ended_server: the server crashed while it ran the request.
     :ivar is_unreached: connecting to the server failed.
     """
 
     number: int
     is_served: bool = False
-    word: SelfReportedLoad | None = None
+    server_load: SelfReportedLoad | None = None
     is_unreached: bool = False
     has_ended_server: bool = False
--- a/indigoworks/broker/slot_reply.py
+++ b/indigoworks/broker/slot_reply.py
@@ -7,7 +7,7 @@
 
 
 class SlotOutcome(Enum):
-    """A broker's answer to a request."""
+    """What a broker decided about a request."""
 
     GRANTED = "granted"
     QUEUED = "queued"
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -60,15 +60,15 @@
         return self._servers.may_serve_own_keys(server_id)
 
     def has_resting(self) -> bool:
-        """Tell whether any server may have asked for a pause: avoids checking each server."""
+        """Tell whether any server may have asked for rest: avoids checking each server."""
         return self._servers.has_resting()
 
     def rest_left_s(self, server_id: str) -> float:
-        """Return 0: servers ask single gateways for a pause, which name them in their requests."""
+        """Return 0: servers ask single gateways for rest, which name them in their requests."""
         return 0.0
 
     def rest_left_s_for_many(self, server_id: str) -> float:
-        """Return the remaining seconds of a pause that a server asked several gateways for."""
+        """Return the remaining seconds of rest that a server asked several gateways for."""
         return self._servers.rest_left_s_for_many(server_id)
 
     def limit_per_s(self, server_id: str) -> float | None:
--- a/indigoworks/router/caller_response.py
+++ b/indigoworks/router/caller_response.py
@@ -1,4 +1,4 @@
-"""The answer to a caller's request."""
+"""The response to a caller's request."""
 
 import json
 from dataclasses import dataclass
@@ -25,12 +25,12 @@
     error: IndigoworksError | None = None
 
 
-def response_of_answer(answer: BackendResponse) -> CallerResponse:
-    """Return the response that forwards a back end's complete answer."""
-    return CallerResponse(answer.status, answer.headers, answer.body, Outcome.COMPLETED)
+def response_from_backend(response: BackendResponse) -> CallerResponse:
+    """Return the response to the caller for a back end's complete response."""
+    return CallerResponse(response.status, response.headers, response.body, Outcome.COMPLETED)
 
 
-def response_of_error(error: RouterError) -> CallerResponse:
+def response_from_error(error: RouterError) -> CallerResponse:
     """Return the response that reports `error` as a JSON object."""
     fields = {
         "kind": error.kind,
--- a/indigoworks/router/controller_administration.py
+++ b/indigoworks/router/controller_administration.py
@@ -36,7 +36,7 @@
         self._clients: dict[Address, RpcClient] = {}
 
     async def handle(self, call: AdminCall) -> AdminAnswer:
-        """Answer `call`; an error is returned as an answer."""
+        """Answer `call`; errors are returned in the response."""
         for address in self._directory.candidates():
             answered = await self._client(address).call(_frame(call), ADMIN_TIMEOUT_S)
             if not isinstance(answered, Err):
--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -78,7 +78,7 @@
     async def submit(
         self, request: DispatchRequest, group: str, limits: ResolvedSettings
     ) -> DispatchResult:
-        """Queue the request, send it once a slot is granted, and return the complete answer.
+        """Queue the request, send it once a slot is granted, and return the complete response.
 
         Cancellation removes it from the queue, or closes its connection to the server.
         """
@@ -217,8 +217,8 @@
             return Err(refusal)
         remaining_s = request.deadline_s - self._ports.clock.now()
         owned = request.owned.with_remaining(remaining_s)
-        answered = await self._ports.backends.send(self.server.address, owned)
-        outcome = self._outcome(answered)
+        result = await self._ports.backends.send(self.server.address, owned)
+        outcome = self._outcome(result)
         if self._is_provably_not_run(outcome):
             self._ports.sent.release(owned.request_id)
         return outcome
@@ -241,25 +241,25 @@
             return False
         return isinstance(outcome.unwrap_err(), OwnerUnreachable | WrongOwner | ServerShedding)
 
-    def _outcome(self, answered: Result[BackendResponse, BackendError]) -> DispatchResult:
-        if isinstance(answered, Err):
-            return Err(self._failure(answered.unwrap_err()))
-        answer = answered.unwrap()
-        if answer.is_wrong_owner:
+    def _outcome(self, result: Result[BackendResponse, BackendError]) -> DispatchResult:
+        if isinstance(result, Err):
+            return Err(self._failure(result.unwrap_err()))
+        response = result.unwrap()
+        if response.is_wrong_owner:
             return Err(refusals.wrong_owner(self.server.name))
-        if answer.is_shed:
-            return Err(self._shed_by_server(answer))
-        return Ok(answer)
+        if response.is_shed:
+            return Err(self._shed_by_server(response))
+        return Ok(response)
 
     def _failure(self, error: BackendError) -> RouterError:
         if isinstance(error, BackendUnreachable):
             return refusals.owner_unreachable(self.server.name, self._spread(0.0))
         return refusals.answer_lost(error.message)
 
-    def _shed_by_server(self, answer: BackendResponse) -> ServerShedding:
-        pause_s = min(MAX_SHED_PAUSE_S, max(MIN_SHED_PAUSE_S, answer.retry_after_s))
+    def _shed_by_server(self, response: BackendResponse) -> ServerShedding:
+        pause_s = min(MAX_SHED_PAUSE_S, max(MIN_SHED_PAUSE_S, response.retry_after_s))
         self._paused_until_s = max(self._paused_until_s, self._ports.clock.now() + pause_s)
-        wait_s = max(answer.retry_after_s, self._service_time.service_s())
+        wait_s = max(response.retry_after_s, self._service_time.service_s())
         return refusals.server_shedding(self.server.name, self._spread(wait_s))
 
     def _spread(self, wait_s: float) -> float:
--- a/indigoworks/router/dispatcher_pool.py
+++ b/indigoworks/router/dispatcher_pool.py
@@ -40,7 +40,7 @@
     async def dispatch(
         self, request: DispatchRequest, server: ServerRecord, view: RoutingView
     ) -> DispatchResult:
-        """Queue the request at the server's dispatcher and return the complete answer."""
+        """Queue the request at the server's dispatcher and return the complete response."""
         limits = self._limits(request, view)
         if limits is None:
             raise ValueError(f"service {request.owned.service} is not in the settings of the view")
--- a/indigoworks/router/errors.py
+++ b/indigoworks/router/errors.py
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True)
 class AnswerLost(RouterError):
-    """The answer was lost or truncated; the request may have run."""
+    """The response was lost or truncated; the request may have run."""
 
     kind: ClassVar[str] = "answer_lost"
     status: ClassVar[int] = 504
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True)
 class AnswerTooLarge(RouterError):
-    """The request ran, but its answer exceeds the size limit."""
+    """The request ran, but its response exceeds the size limit."""
 
     kind: ClassVar[str] = "answer_too_large"
     status: ClassVar[int] = 504
--- a/indigoworks/router/forward_codec.py
+++ b/indigoworks/router/forward_codec.py
@@ -1,4 +1,4 @@
-"""Converts requests and answers between routers to and from protocol messages."""
+"""Converts requests and responses between routers to and from protocol messages."""
 
 from collections.abc import Iterable
 
@@ -104,13 +104,13 @@
     if isinstance(result, Ok) and len(result.unwrap().body) > MAX_BODY_BYTES:
         result = Err(_answer_too_large(len(result.unwrap().body)))
     if isinstance(result, Ok):
-        answer = result.unwrap()
+        response = result.unwrap()
         return control_pb2.ForwardReply(
             request_id=request_id,
             outcome=control_pb2.OUTCOME_COMPLETED,
-            status=answer.status,
-            headers=_header_messages(answer.headers),
-            body=answer.body,
+            status=response.status,
+            headers=_header_messages(response.headers),
+            body=response.body,
         )
     error = result.unwrap_err()
     return control_pb2.ForwardReply(
@@ -142,6 +142,6 @@
 
 def _answer_too_large(size_bytes: int) -> AnswerTooLarge:
     return AnswerTooLarge(
-        f"The request ran, but its answer of {size_bytes} bytes exceeds {MAX_BODY_BYTES}.",
+        f"The request ran, but its response of {size_bytes} bytes exceeds {MAX_BODY_BYTES}.",
         "Ask for less at a time.",
     )
--- a/indigoworks/router/forwarder.py
+++ b/indigoworks/router/forwarder.py
@@ -60,7 +60,7 @@
         reply = called.unwrap()
         if reply.WhichOneof("payload") != "forward_reply":
             return Err(refusals.answer_lost(f"router {peer.name} sent an unexpected message."))
-        self._monitor.record_answer(peer, reply.forward_reply.clock_s)
+        self._monitor.record_reply(peer, reply.forward_reply.clock_s)
         return dispatch_result(reply.forward_reply)
 
     def keep_only(self, peers: tuple[RouterPeer, ...]) -> None:
--- a/indigoworks/router/http_server.py
+++ b/indigoworks/router/http_server.py
@@ -17,11 +17,11 @@
 from indigoworks.router.service_handler import CallerContext, ServiceHandler
 
 WRITE_TIMEOUT_S = 5.0
-"""Timeout for writing the remaining answers after the router has stopped."""
+"""Timeout for writing the remaining responses after the router has stopped."""
 
 CLOSE_LINGER_S = 0.2
 """Time for which open connections are still served after the port is closed: requests on them are
-refused with an answer, so that their callers know that they did not run."""
+refused with a response, so that their callers know that they did not run."""
 
 HttpRule = tuple[str, type[Any], dict[str, Any]]
 
@@ -46,18 +46,18 @@
         self._listener.start()
 
     async def stop(self) -> None:
-        """Stop the router, finish writing its answers, and close all connections.
+        """Stop the router, finish writing its responses, and close all connections.
 
-        While the router stops, new requests are refused with an answer instead of a closed port,
+        While the router stops, new requests are refused with a response instead of a closed port,
         so that the caller knows that they did not run.
         """
         await self._router.stop()
         self._listener.stop()
         await LoopClock().sleep(CLOSE_LINGER_S)
-        await self._finish_answers()
+        await self._finish_responses()
         await self._server.close_all_connections()
 
-    async def _finish_answers(self) -> None:
+    async def _finish_responses(self) -> None:
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await self._handling.wait_for_none()
--- a/indigoworks/router/idempotency_cache.py
+++ b/indigoworks/router/idempotency_cache.py
@@ -9,17 +9,17 @@
 from indigoworks.common.clock import Clock
 from indigoworks.router import refusals
 from indigoworks.router.caller_request import CallerRequest
-from indigoworks.router.caller_response import CallerResponse, response_of_error
+from indigoworks.router.caller_response import CallerResponse, response_from_error
 from indigoworks.router.outcome import Outcome
 
 RETENTION_S = 300.0
-"""Seconds for which the answer of a finished run is cached."""
+"""Seconds for which the response of a finished run is cached."""
 
 MAX_ENTRIES = 10_000
-"""Maximum number of cached answers; the oldest are evicted first."""
+"""Maximum number of cached responses; the oldest are evicted first."""
 
 MAX_BYTES = 64 * 1024 * 1024
-"""Maximum total size of the cached bodies; the oldest answers are evicted first."""
+"""Maximum total size of the cached bodies; the oldest responses are evicted first."""
 
 
 @dataclass(frozen=True)
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class FinishedRun:
-    """Answer of a finished run; `finished_s` is a reading of the router's clock."""
+    """Response of a finished run; `finished_s` is a reading of the router's clock."""
 
     fingerprint: bytes
     response: CallerResponse
@@ -56,9 +56,9 @@
     """Coalesces concurrent requests with one idempotency key, and answers later ones from memory.
 
     It covers requests that reach the same router process within RETENTION_S of the end of the run,
-    unless newer answers have exceeded MAX_ENTRIES or MAX_BYTES. Outcomes `completed` and `unknown`
-    are cached; after `not-run` a resent request runs again. A run with an idempotency key
-    continues if its caller disconnects, so that a resent request finds its answer.
+    unless newer responses have exceeded MAX_ENTRIES or MAX_BYTES. Outcomes `completed` and
+    `unknown` are cached; after `not-run` a resent request runs again. A run with an idempotency key
+    continues if its caller disconnects, so that a resent request finds its response.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -70,13 +70,13 @@
     async def answer(
         self, request: CallerRequest, run: Callable[[], Awaitable[CallerResponse]]
     ) -> CallerResponse:
-        """Return the answer of the active or cached run; call `run` only if there is none."""
+        """Return the response of the active or cached run; call `run` only if there is none."""
         self._evict_old()
         identity = _identity(request)
         fingerprint = _fingerprint(request)
         known = self._runs.get(identity) or self._finished.get(identity)
         if known is not None and known.fingerprint != fingerprint:
-            return response_of_error(refusals.idempotency_key_reused())
+            return response_from_error(refusals.idempotency_key_reused())
         if isinstance(known, FinishedRun):
             return known.response
         if known is None:
@@ -113,7 +113,7 @@
                 self._store(identity, FinishedRun(fingerprint, response, self._clock.now()))
             return response
         finally:
-            # In the event-loop iteration that caches the answer: a resend finds one or the other.
+            # In the event-loop iteration that caches the response: a resend finds one or the other.
             del self._runs[identity]
 
     def _store(self, identity: IdempotencyId, remembered: FinishedRun) -> None:
--- a/indigoworks/router/metrics.py
+++ b/indigoworks/router/metrics.py
@@ -24,7 +24,7 @@
         )
         self._latency = Histogram(
             "indigoworks_request_seconds",
-            "Time from a whole request to its answer.",
+            "Time from a complete request to its response.",
             ("service", "group"),
             buckets=LATENCY_BUCKETS_S,
             registry=registry,
--- a/indigoworks/router/peer_clock.py
+++ b/indigoworks/router/peer_clock.py
@@ -8,7 +8,7 @@
 
     The peer took a reading before it arrived here, so its clock shows at least that value on
     arrival. A deadline converted with this bound may be early, by the latency of the fastest
-    recent answer, but never late: however long a message is delayed on the network or in a frozen
+    recent reply, but never late: however long a message is delayed on the network or in a frozen
     process, it is not acted upon after its deadline.
     """
 
--- a/indigoworks/router/peer_monitor.py
+++ b/indigoworks/router/peer_monitor.py
@@ -14,7 +14,7 @@
 PROBE_TIMEOUT_S = 0.25
 """Timeout of a probe, including the time to connect."""
 
-FRESH_ANSWER_S = 0.5
+FRESH_REPLY_S = 0.5
 """A router that answered within this time is not probed before a request is forwarded to it."""
 
 MIN_SUSPICION_S = 1.0
@@ -30,7 +30,7 @@
     """State of one process of a peer router; times are readings of the local clock."""
 
     clock: PeerClock = field(default_factory=PeerClock)
-    answered_at_s: float = float("-inf")
+    replied_at_s: float = float("-inf")
     suspected_until_s: float = float("-inf")
     suspicion_s: float = MIN_SUSPICION_S
     probe: asyncio.Task[bool] | None = None
@@ -62,18 +62,18 @@
         """Record a failure of the router; failures while it is suspected count once."""
         state = self._state(peer)
         now_s = self._clock.now()
-        state.answered_at_s = float("-inf")
+        state.replied_at_s = float("-inf")
         if state.suspected_until_s > now_s:
             return
         state.suspected_until_s = now_s + state.suspicion_s
         self._last_suspicion_until_s = max(self._last_suspicion_until_s, state.suspected_until_s)
         state.suspicion_s = min(MAX_SUSPICION_S, 2 * state.suspicion_s)
 
-    def record_answer(self, peer: RouterPeer, reading_s: float) -> None:
-        """Record an answer of the router, with a reading of its clock."""
+    def record_reply(self, peer: RouterPeer, reading_s: float) -> None:
+        """Record a reply of the router, with a reading of its clock."""
         state = self._state(peer)
         now_s = self._clock.now()
-        state.answered_at_s = now_s
+        state.replied_at_s = now_s
         state.suspected_until_s = float("-inf")
         state.suspicion_s = MIN_SUSPICION_S
         state.clock.record_reading(reading_s, now_s)
@@ -83,8 +83,8 @@
         return self._state(peer).clock.deadline(deadline_s, self._clock.now())
 
     async def is_reachable(self, peer: RouterPeer, client: RpcClient) -> bool:
-        """Tell whether the router answers; probe it if its last answer is not fresh."""
-        if self._clock.now() - self._state(peer).answered_at_s <= FRESH_ANSWER_S:
+        """Tell whether the router answers; probe it if its last reply is not fresh."""
+        if self._clock.now() - self._state(peer).replied_at_s <= FRESH_REPLY_S:
             return True
         return await self.is_alive(peer, client)
 
@@ -110,7 +110,7 @@
         reply = called.unwrap()
         if reply.identity_reply.member.incarnation != peer.incarnation:
             return False
-        self.record_answer(peer, reply.identity_reply.clock_s)
+        self.record_reply(peer, reply.identity_reply.clock_s)
         return True
 
     def _state(self, peer: RouterPeer) -> PeerState:
--- a/indigoworks/router/refusals.py
+++ b/indigoworks/router/refusals.py
@@ -168,7 +168,7 @@
 
 
 def answer_lost(reason: str) -> AnswerLost:
-    """Return the error of an answer that was lost after the request was sent."""
+    """Return the error of a response that was lost after the request was sent."""
     return AnswerLost(
         f"The answer was lost: {reason}",
         "Check whether the request took effect before sending it again.",
--- a/indigoworks/router/request_path.py
+++ b/indigoworks/router/request_path.py
@@ -65,7 +65,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     async def run(self, request: RoutedRequest) -> DispatchResult:
-        """Return the owner's complete answer, or the error to report to the caller."""
+        """Return the owner's complete response, or the error to report to the caller."""
         self._budget(request).add_request(request.settings.retry_budget_ratio)
         while True:
             view = self._follower.in_force()
@@ -102,7 +102,7 @@
         return await self._may_route_again(request, route, error)
 
     def _may_send_again(self, request: RoutedRequest, error: RouterError) -> bool:
-        """After a lost answer, send the request again only if it is repeatable: it may have run."""
+        """After a lost response the request may have run: send it again only if repeatable."""
         is_lost = isinstance(error, AnswerLost | RouterFault)
         return is_lost and request.is_repeatable and self._claim_retry(request)
 
@@ -148,7 +148,7 @@
         return True
 
     def _verdict(self, request: RoutedRequest, error: RouterError) -> RouterError:
-        """Return the error to report: after a lost answer it is that loss, never "not run"."""
+        """Return the error to report: after a lost response it is that loss, never "not run"."""
         return request.lost_answer if request.lost_answer is not None else error
 
     # ---- helpers ----
--- a/indigoworks/router/routed_request.py
+++ b/indigoworks/router/routed_request.py
@@ -18,7 +18,7 @@
     :ivar retries: number of retries charged to the retry budget.
     :ivar reroutes: number of times that it was rerouted after its route had changed.
     :ivar waited_s: total time spent waiting for a changed route.
-    :ivar lost_answer: error of the first lost answer; if set, the outcome is never "not run".
+    :ivar lost_answer: error of the first lost response; if set, the outcome is never "not run".
     :ivar position: hash of the key, its position on the ring.
     """
 
--- a/indigoworks/router/router.py
+++ b/indigoworks/router/router.py
@@ -14,8 +14,8 @@
 from indigoworks.router.caller_request import CallerRequest
 from indigoworks.router.caller_response import (
     CallerResponse,
-    response_of_answer,
-    response_of_error,
+    response_from_backend,
+    response_from_error,
 )
 from indigoworks.router.controller_administration import ControllerAdministration
 from indigoworks.router.controller_directory import ControllerDirectory
@@ -183,18 +183,18 @@
             except asyncio.CancelledError:
                 self._observer.record_cancelled(request, started_s)
                 raise
-        self._observer.record_answer(request, response, started_s)
+        self._observer.record_response(request, response, started_s)
         return response
 
     async def _answer(self, request: CallerRequest) -> CallerResponse:
         if self._is_stopping:
-            return response_of_error(refusals.router_stopping())
+            return response_from_error(refusals.router_stopping())
         view = self._follower.in_force()
         if view is None:
-            return response_of_error(refusals.view_expired())
+            return response_from_error(refusals.view_expired())
         checked = self._check.check(request, view)
         if not isinstance(checked, Ok):
-            return response_of_error(checked.unwrap_err())
+            return response_from_error(checked.unwrap_err())
         routed = checked.unwrap()
         if request.idempotency_key is None:
             return await self._run(routed)
@@ -213,10 +213,10 @@
                     request_id=routed.caller.request_id,
                     error=repr(error),
                 )
-                return response_of_error(_fault())
+                return response_from_error(_fault())
         if isinstance(result, Ok):
-            return response_of_answer(result.unwrap())
-        return response_of_error(result.unwrap_err())
+            return response_from_backend(result.unwrap())
+        return response_from_error(result.unwrap_err())
 
     async def _finish_in_progress(self) -> None:
         await self._clock.sleep(STOP_LINGER_S)
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -28,10 +28,10 @@
         self._clock = clock
         self._add_gauges()
 
-    def record_answer(
+    def record_response(
         self, request: CallerRequest, response: CallerResponse, started_s: float
     ) -> None:
-        """Record the answer to a request that was received at `started_s`."""
+        """Record the response to a request that was received at `started_s`."""
         error_kind = "" if response.error is None else response.error.kind
         self._record(request, response.outcome.value, error_kind, started_s)
 
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -14,7 +14,7 @@
 from indigoworks.router import caller_headers as names
 from indigoworks.router import refusals
 from indigoworks.router.caller_request import CallerRequest
-from indigoworks.router.caller_response import CallerResponse, response_of_error
+from indigoworks.router.caller_response import CallerResponse, response_from_error
 from indigoworks.router.errors import BadRequest, RouterError, RouterFault
 from indigoworks.router.limits import MAX_BODY_BYTES
 from indigoworks.router.router import Router
@@ -25,8 +25,8 @@
 MAX_TIMEOUT_MS = 3_600_000
 
 REFUSED_BODY_BYTES = 64 * 1024 * 1024
-"""A refused body up to this size is read and discarded, so that the caller gets the answer instead
-of a broken connection. For a larger one the answer is sent at once and the connection closed."""
+"""A refused body up to this size is read and discarded, so that the caller gets a response instead
+of a broken connection. For a larger one the response is sent at once and the connection closed."""
 
 BODY_TIMEOUT_S = 30.0
 """Timeout for receiving a body; then the connection is closed."""
@@ -103,7 +103,7 @@
             self._running.cancel()
 
     def compute_etag(self) -> str | None:
-        """Add no ETag: answers are forwarded unchanged."""
+        """Add no ETag: responses are forwarded unchanged."""
         return None
 
     def check_xsrf_cookie(self) -> None:
@@ -112,9 +112,9 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer after an internal error or for an unsupported method."""
         if status_code == RouterFault.status or status_code >= 500:
-            self._write_response(response_of_error(_fault()))
+            self._write_response(response_from_error(_fault()))
         else:
-            self._write_response(response_of_error(_bad_request("The method", "a supported one")))
+            self._write_response(response_from_error(_bad_request("The method", "a supported one")))
             self.set_status(status_code)
         self.finish()
 
@@ -134,7 +134,7 @@
         if expects_continue or size_bytes > REFUSED_BODY_BYTES:
             self.set_header("Connection", "close")
             refusal = refusals.body_too_large(size_bytes, self._limit_bytes)
-            self._write_response(response_of_error(refusal))
+            self._write_response(response_from_error(refusal))
             self.finish()
 
     def _refuse_body(self, size_bytes: int) -> None:
@@ -143,10 +143,10 @@
             self._refusal = refusals.body_too_large(size_bytes, self._limit_bytes)
 
     async def _response(self) -> CallerResponse | None:
-        """Return the answer, or None if the caller disconnected."""
+        """Return the response, or None if the caller disconnected."""
         request = self._caller_request()
         if isinstance(request, Err):
-            return response_of_error(request.unwrap_err())
+            return response_from_error(request.unwrap_err())
         self._running = asyncio.ensure_future(self._router.handle(request.unwrap()))
         try:
             return await self._running
@@ -186,7 +186,7 @@
             return Err(_bad_request(names.TIMEOUT_MS, f"a whole number up to {MAX_TIMEOUT_MS}"))
         return Ok(int(text) / MS_PER_S)
 
-    # ---- answer ----
+    # ---- response ----
 
     def _write_response(self, response: CallerResponse) -> None:
         self.set_status(response.status)
