--- a/features/steps/gateway_changed_route_steps.py
+++ b/features/steps/gateway_changed_route_steps.py
@@ -17,7 +17,7 @@
 
 def counted_requests(world):
     """Return the requests for the service that the budget of repeats has counted."""
-    return len(world.side.allowance._requests["shop"])
+    return len(world.side.retry_budget._requests["shop"])
 
 
 def put_in_force(world, *services):
@@ -40,7 +40,7 @@
 def step_waits(context):
     world = context.gateway
     server = world.platform.servers.get("a")
-    board = world.side.board
+    board = world.side.server_stats
 
     async def wait():
         context.room_taken = [board.start(server) for _ in range(in_flight_limit(server))]
@@ -83,7 +83,7 @@
     async def free():
         server = world.platform.servers.get("a")
         for started in context.room_taken:
-            world.side.board.finish(server, started, False)
+            world.side.server_stats.finish(server, started, False)
         world.side.queue.capacity_changed()
         context.waiting_answer = await context.waiting_caller.receive()
 
@@ -165,7 +165,7 @@
 def step_idle(context, server_id):
     async def check():
         await asyncio.sleep(0)
-        assert context.gateway.side.board.in_flight(server_id) == 0
+        assert context.gateway.side.server_stats.in_flight(server_id) == 0
         received = context.gateway.servers[server_id].requests
         assert not received, received
 
--- a/features/steps/gateway_cold_server_steps.py
+++ b/features/steps/gateway_cold_server_steps.py
@@ -105,8 +105,8 @@
     async def run():
         while clock.now() - started_s < duration_s:
             for budget in context.cold_budgets:
-                if budget.may_send(context.cold_server):
-                    budget.spend(context.cold_server)
+                if budget.has_permit(context.cold_server):
+                    budget.consume_permit(context.cold_server)
                     context.cold_sent_s.append(clock.now())
             await clock.advance(STEP_S)
 
@@ -134,7 +134,7 @@
 
 @then("each of these gateways may send to it")
 def step_each(context):
-    assert all(each.may_send(context.cold_server) for each in context.cold_budgets)
+    assert all(each.has_permit(context.cold_server) for each in context.cold_budgets)
 
 
 @given(
--- a/features/steps/gateway_drawn_server_steps.py
+++ b/features/steps/gateway_drawn_server_steps.py
@@ -85,7 +85,7 @@
         choice = ServerSelector(
             None, board, make_rate_budget(clock), ZONE, random, lambda: size == "large"
         )
-        context.drawn[choice.best(context.drawn_servers).server_id] += 1
+        context.drawn[choice.select(context.drawn_servers).server_id] += 1
 
 
 @then("no gateway server was chosen more than {most:d} times")
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -166,7 +166,7 @@
 def step_time_passes(context, duration_s):
     async def run():
         await context.evacuation_clock.advance(duration_s)
-        context.evacuation_side.tidy()
+        context.evacuation_side.end_stale_evacuations()
 
     context.run_async(run())
 
--- a/features/steps/gateway_group_steps.py
+++ b/features/steps/gateway_group_steps.py
@@ -130,7 +130,7 @@
         tasks = world.send("g", 4, aim_s=10.0)
 
         def leave():
-            if world.asked["g"][2].entry.placed.done():
+            if world.asked["g"][2].entry.placement.done():
                 tasks[2].cancel()
 
         world.after_release = leave
--- a/features/steps/gateway_group_world.py
+++ b/features/steps/gateway_group_world.py
@@ -175,5 +175,5 @@
         """Nothing waits, and nothing is remembered of those that are gone."""
         assert sum(self.queue.waiting_by_service().values()) == 0, self.queue.waiting_by_service()
         assert not self.board.own_in_flight(), self.board.own_in_flight()
-        assert self.queue._lines.is_empty(), vars(self.queue._lines)
-        assert not self.queue._room.reserved_count(), vars(self.queue._room)
+        assert self.queue._queues.is_empty(), vars(self.queue._queues)
+        assert not self.queue._capacity.reserved_count(), vars(self.queue._capacity)
--- a/features/steps/gateway_idle_steps.py
+++ b/features/steps/gateway_idle_steps.py
@@ -23,7 +23,7 @@
     async def tidy():
         while True:
             await asyncio.sleep(TIDY_S)
-            context.gateway.side.tidy()
+            context.gateway.side.drop_expired()
 
     async def begin():
         context.tidying = asyncio.ensure_future(tidy())
@@ -54,7 +54,7 @@
         # both are there, and it looks for resting connections first.
         context.rester.send()
         time.sleep(context.rest_s)  # noqa: ASYNC251
-        context.gateway.side.tidy()
+        context.gateway.side.drop_expired()
 
     context.run_async(run())
 
--- a/features/steps/gateway_not_held_steps.py
+++ b/features/steps/gateway_not_held_steps.py
@@ -45,13 +45,13 @@
 
 @when('the gateway lookup hears that "{server}" does not hold key {key:d}')
 def step_hears(context, server, key):
-    context.lookup.note_not_held(SERVICE, key, server)
+    context.lookup.record_not_held(SERVICE, key, server)
 
 
 @when('the gateway lookup hears {count:d} times that "{server}" does not hold key {key:d}')
 def step_hears_often(context, count, server, key):
     for _ in range(count):
-        context.lookup.note_not_held(SERVICE, key, server)
+        context.lookup.record_not_held(SERVICE, key, server)
 
 
 @when("the gateway lookup's table gets new tokens")
@@ -84,7 +84,7 @@
 def step_pauses(context, key, server, pauses):
     found = []
     for _ in pauses.split(", "):
-        context.lookup.note_not_held(SERVICE, key, server)
+        context.lookup.record_not_held(SERVICE, key, server)
         begun_s = context.lookup_clock.at_s
         while context.lookup.find(SERVICE, key).state.value == "pending":
             context.lookup_clock.at_s += STEP_S
--- a/features/steps/gateway_repeat_steps.py
+++ b/features/steps/gateway_repeat_steps.py
@@ -116,7 +116,7 @@
         directory.apply([peer_row(f"p{number}") for number in range(listed)])
         allowance = LocalRetryBudget(0.5, WINDOW_S, slack, peers, directory, clock)
         # Peers that were heard once go on counting when they fall silent.
-        allowance.take("other")
+        allowance.try_consume("other")
         check_budget(Random(seed), clock, allowance, actions, slack / (1 + max(heard, listed)))
 
     check()
@@ -134,7 +134,7 @@
         if action == "wait":
             clock._now_s += random.uniform(0.0, 8.0)
         if action == "ask":
-            allowance.add_request("shop")
+            allowance.record_request("shop")
             asked.append(clock.now())
         if action != "repeat":
             continue
@@ -142,7 +142,7 @@
         share = SAFETY * (0.5 * recent[0] + slack)
         if clock.now() - started_s < WINDOW_S:
             share *= NEW_PROCESS_SHARE
-        is_granted = allowance.take("shop")
+        is_granted = allowance.try_consume("shop")
         assert is_granted == (recent[1] + 1 <= share), (recent, share)
         if is_granted:
             repeated.append(clock.now())
--- a/features/steps/gateway_rest_control_steps.py
+++ b/features/steps/gateway_rest_control_steps.py
@@ -147,7 +147,7 @@
     one = Gateway("n1")
     one.servers.record_notice("a", REST)
     one.servers.record_notice("b", LEAVING)
-    sent = report("n1", notices=one.notices.notes())
+    sent = report("n1", notices=one.notices.next_notes())
     assert [each.is_leaving for each in sent.notices] == [True, False], sent
     assert sent.notices[1].reporters == (node_checksum("n1"),)
     assert sent.notices[1].rest_left_s == 3.0
@@ -160,18 +160,19 @@
     for each in gateways[:2]:
         each.servers.record_notice("a", REST)
     own, *members = [
-        report(f"n{number}", notices=each.notices.notes()) for number, each in enumerate(gateways)
+        report(f"n{number}", notices=each.notices.next_notes())
+        for number, each in enumerate(gateways)
     ]
     summed = aggregate_reports(own, [AgedReport(each, 0.0) for each in members])
     (note,) = summed.notices
     assert sorted(note.reporters) == sorted(map(node_checksum, ("n0", "n1"))), note
     # The sums come back to a gateway that is part of them.
-    gateways[1].notices.take(summed.notices)
-    gateways[1].notices.take(summed.notices)
+    gateways[1].notices.apply(summed.notices)
+    gateways[1].notices.apply(summed.notices)
     assert gateways[1].servers.rest_left_s_for_many("a") == 3.0
     gateways[2].servers.record_notice("b", REST)
-    alone = report("n2", notices=gateways[2].notices.notes())
-    gateways[2].notices.take(aggregate_reports(alone, []).notices)
+    alone = report("n2", notices=gateways[2].notices.next_notes())
+    gateways[2].notices.apply(aggregate_reports(alone, []).notices)
     assert gateways[2].servers.rest_left_s_for_many("b") == 0.0
 
 
@@ -179,7 +180,7 @@
     for node in tellers:
         teller = Gateway(node)
         teller.servers.record_notice(name, notice)
-        listener.notices.take(teller.notices.notes())
+        listener.notices.apply(teller.notices.next_notes())
 
 
 @then("gateway notes: what one gateway was asked for binds no other")
@@ -215,11 +216,11 @@
 @then("gateway notes: a report without wishes is as long as before")
 def step_length(context):
     quiet = Gateway("n1")
-    assert quiet.notices.notes() == ()
+    assert quiet.notices.next_notes() == ()
     assert not quiet.notices.has_any()
     asked = Gateway("n1")
     asked.servers.record_notice("a", REST)
-    quiet_bytes = encode_report(report("n1", notices=quiet.notices.notes()))
-    asked_bytes = encode_report(report("n1", notices=asked.notices.notes()))
+    quiet_bytes = encode_report(report("n1", notices=quiet.notices.next_notes()))
+    asked_bytes = encode_report(report("n1", notices=asked.notices.next_notes()))
     context.gateway_note_bytes = len(asked_bytes) - len(quiet_bytes)
     assert context.gateway_note_bytes <= 20, context.gateway_note_bytes
--- a/features/steps/gateway_slow_link_world.py
+++ b/features/steps/gateway_slow_link_world.py
@@ -265,7 +265,7 @@
         while True:
             await asyncio.sleep(period_s)
             for gateway in self.gateways:
-                gateway.platform.use_settings(gateway.settings)
+                gateway.platform.apply_settings(gateway.settings)
 
     def add_traffic(self, bytes_per_s):
         for gateway in self.gateways:
--- a/features/steps/gateway_speeds_steps.py
+++ b/features/steps/gateway_speeds_steps.py
@@ -48,18 +48,18 @@
         None, context.board, make_rate_budget(context.board_clock), ZONE, context.random
     )
     records = [record("slow"), record("fast")]
-    chosen_ids = {choice.best(records).server_id for _ in range(CHOICES)}
+    chosen_ids = {choice.select(records).server_id for _ in range(CHOICES)}
     assert chosen_ids == {server_id}, chosen_ids
 
 
 @then('the gateway board tells the leader {slow_s:g} s of "slow" and {fast_s:g} s of "fast"')
 def told(context, slow_s, fast_s):
     for server_id, wanted_s in (("slow", slow_s), ("fast", fast_s)):
-        told_s = context.board.service_s_by_id(server_id)
+        told_s = context.board.service_time_by_id_s(server_id)
         assert abs(told_s - wanted_s) < TOLERANCE_S, (server_id, told_s)
 
 
 @then('the gateway board takes a request at "{server_id}" to last {low_s:g} s to {high_s:g} s')
 def lasts(context, server_id, low_s, high_s):
-    known_s = context.board.service_s(record(server_id))
+    known_s = context.board.service_time_s(record(server_id))
     assert low_s <= known_s <= high_s, known_s
--- a/features/steps/platform_folder_store_steps.py
+++ b/features/steps/platform_folder_store_steps.py
@@ -200,7 +200,7 @@
         context.platform_versions = []
         side.configurations.on_change(lambda each: context.platform_versions.append(each.version))
         context.platform_tasks = [asyncio.ensure_future(each.run()) for each in side.followers]
-        await until(lambda: side.is_known)
+        await until(lambda: side.is_loaded)
         return side
 
     context.platform_side = context.run_async(run())
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -66,15 +66,15 @@
         Either a server that it may go to has a free slot and no request is queued for the service,
         or the next scheduled retry is that of its caller.
         """
-        if self.queue.expectation.has_turn(request.service, request.caller_mark):
+        if self.queue.admission.is_retry_due(request.service, request.caller_mark):
             return True
         if self.queue.waiting_by_service().get(request.service):
             return False
         usable = self._selector.usable(request.service)
-        servers = self._capacity.with_room(usable)
+        servers = self._capacity.with_capacity(usable)
         if all(each.server_id in request.tried for each in servers):
             return False
-        return not self.queue.expectation.turn_kept_for_s((request.service, None), usable)
+        return not self.queue.admission.reserved_for_s((request.service, None), usable)
 
     def apply_release(self, server: ServerRecord, reporter: str, release: SlotRelease) -> None:
         """Record the result of a request that held a slot.
@@ -82,7 +82,7 @@
         :param reporter: boot id of the gateway that sent the release.
         """
         if release.server_load is not None:
-            self.server_stats.note_word(server.server_id, release.server_load)
+            self.server_stats.record_server_load(server.server_id, release.server_load)
             self.load.record_server_load(server.server_id, release.server_load)
         if release.is_unreached:
             self.unreachable.record_failure(server.server_id, reporter)
@@ -95,7 +95,11 @@
         ahead = self.queue.waiting_by_service().get(request.service, 0)
         load = CandidateLoad.of(servers, self.server_stats, self._capacity)
         # The retry of a refused request is scheduled after those of all others.
-        line_s = 0.0 if load.rate_per_s is None else self.queue.expectation.line_s(request.service)
+        line_s = (
+            0.0
+            if load.rate_per_s is None
+            else self.queue.admission.schedule_length_s(request.service)
+        )
         return max(load.wait_s(ahead), line_s)
 
     def servers_changed(self) -> None:
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -20,7 +20,7 @@
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 from indigoworks.gateway.server_rate_limiter import ServerRateLimiter
 from indigoworks.gateway.server_response import ExchangeResult, ServerResponse
-from indigoworks.gateway.server_stats import Measurement
+from indigoworks.gateway.server_stats import RequestStart
 from indigoworks.gateway.waiting_request import WaitingRequest
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
@@ -107,11 +107,11 @@
         if not _is_for_broker(placement):
             return placement
         # Its server got a rate limit while the request was queued here.
-        entry.renew()
+        entry.reset_placement()
         return await self._place_in(entry, self._zones(entry))
 
     def release(
-        self, entry: WaitingRequest, started: Measurement, answer: ServerResponse | None
+        self, entry: WaitingRequest, started: RequestStart, answer: ServerResponse | None
     ) -> None:
         """Release the slot of a request."""
         grant = self._grants.pop(entry, None)
@@ -136,10 +136,10 @@
         """Return the zones whose brokers may place a request, the preferred one first."""
         if entry.key is not None:
             return self._zone_of_owner(entry.service, entry.key)
-        if not self._directory.has_many() and not self._rate_limiter.has_bound():
+        if not self._directory.has_many() and not self._rate_limiter.has_rate_limits():
             return ()
         usable = self._servers.usable(entry.service)
-        if not self._directory.has_many() and not self._rate_limiter.excludes_any(usable):
+        if not self._directory.has_many() and not self._rate_limiter.any_paced_elsewhere(usable):
             return ()
         zones = {each.zone for each in usable if not self._servers.rest_left_s(each.server_id)}
         others = sorted(zones - {self._zone})
@@ -147,20 +147,22 @@
 
     def _zone_of_owner(self, service: str, key: int) -> Sequence[str]:
         """Return the zone of the key's owner if that has a rate limit, else nothing."""
-        if not self._rate_limiter.has_bound():
+        if not self._rate_limiter.has_rate_limits():
             return ()
         owner = self._owners.find(service, key)
         server = owner.server
         if owner.state is not OwnerState.READY or server is None:
             return ()
-        return (server.zone,) if self._rate_limiter.excludes(server) else ()
+        return (server.zone,) if self._rate_limiter.is_paced_elsewhere(server) else ()
 
     async def _find_free_slot(
         self, entry: WaitingRequest, zones: Sequence[str]
     ) -> Placement | None:
         """Return a server with a free slot in any of the zones, or None."""
         # A full zone may have scheduled a retry of this caller: then no zone is skipped.
-        has_scheduled_retries = self._rate_limiter.excludes_any(self._servers.usable(entry.service))
+        has_scheduled_retries = self._rate_limiter.any_paced_elsewhere(
+            self._servers.usable(entry.service)
+        )
         for zone in zones:
             if not has_scheduled_retries and self._is_full(entry.service, zone):
                 continue
@@ -221,7 +223,7 @@
     def _caller_mark(self, entry: WaitingRequest) -> int:
         """Return a hash that identifies retries of the same request; 0 if none are scheduled."""
         content = entry.content
-        if content is None or not self._rate_limiter.has_bound():
+        if content is None or not self._rate_limiter.has_rate_limits():
             return 0
         parts = (content.caller, content.method, content.host, content.target)
         return xxhash.xxh64_intdigest("\0".join(parts).encode("utf-8", "surrogateescape"))
--- a/indigoworks/broker/reservation.py
+++ b/indigoworks/broker/reservation.py
@@ -5,7 +5,7 @@
 
 from indigoworks.broker.broker_queue import BrokerQueue
 from indigoworks.broker.slot_reply import SlotReply
-from indigoworks.gateway.server_stats import Measurement
+from indigoworks.gateway.server_stats import RequestStart
 from indigoworks.gateway.waiting_request import WaitingRequest
 from indigoworks.servers.server_record import ServerRecord
 
@@ -27,4 +27,4 @@
     reply: SlotReply
     task: asyncio.Task[None] | None = None
     server: ServerRecord | None = None
-    started: Measurement | None = None
+    started: RequestStart | None = None
--- a/indigoworks/broker/slot_broker.py
+++ b/indigoworks/broker/slot_broker.py
@@ -66,7 +66,7 @@
             requester.send_reply(SlotReply(request.number, SlotOutcome.FULL, wait_s=wait_s))
             return
         reservation = self._reservations[name] = self._reserve(request, queue)
-        placement = queue.queue.place_at_once(reservation.entry)
+        placement = queue.queue.place_immediately(reservation.entry)
         if placement is not None:
             self._send_placement(requester, reservation, placement)
             return
@@ -141,7 +141,7 @@
         return Reservation(queue, entry, until_s, reply)
 
     async def _wait(self, requester: Requester, reservation: Reservation) -> None:
-        placement = await reservation.queue.queue.wait_for_place(reservation.entry)
+        placement = await reservation.queue.queue.wait_for_placement(reservation.entry)
         self._send_placement(requester, reservation, placement)
 
     def _send_placement(
--- a/indigoworks/gateway/active_settings.py
+++ b/indigoworks/gateway/active_settings.py
@@ -8,7 +8,7 @@
 
 from indigoworks.gateway.gateway_settings import GatewaySettings, SettingsUnreadable
 
-CHANGEABLE = frozenset(
+RELOADABLE_FIELDS = frozenset(
     {
         "server_heartbeat_s",
         "drain_s",
@@ -67,14 +67,14 @@
             for each in fields(GatewaySettings)
             if getattr(read, each.name) != getattr(self._current, each.name)
         ]
-        changed = [each for each in differing if each in CHANGEABLE]
+        changed = [each for each in differing if each in RELOADABLE_FIELDS]
         if changed:
             self._put_in_force({each: getattr(read, each) for each in changed})
         log_message(
             message_type="process:reload",
             outcome="changed" if changed else "unchanged",
             changed={each: getattr(read, each) for each in changed},
-            needs_restart=[each for each in differing if each not in CHANGEABLE],
+            needs_restart=[each for each in differing if each not in RELOADABLE_FIELDS],
         )
 
     def _put_in_force(self, values: dict[str, float]) -> None:
--- a/indigoworks/gateway/admission_control.py
+++ b/indigoworks/gateway/admission_control.py
@@ -19,13 +19,13 @@
 """Loads of the servers of one line, by the servers that are left out: many requests of a line look
 at the same ones."""
 
-KEPT_S = 0.02
+LOAD_CACHE_S = 0.02
 """The load of all servers of a service is counted anew so often. With 20 servers and a queue, which
 stays as it is for so long, counting for each request took half of a broker's time."""
 
 
 @dataclass(frozen=True, slots=True)
-class _KeptLoad:
+class _CachedLoad:
     load: CandidateLoad
     until_s: float
 
@@ -35,27 +35,27 @@
 
     def __init__(
         self,
-        choice: ServerSelector,
+        selector: ServerSelector,
         owners: OwnerLookup,
         outages: OwnerOutages,
-        board: ServerStats,
-        room: CapacityTracker,
+        server_stats: ServerStats,
+        capacity: CapacityTracker,
         clock: Clock,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._owners = owners
-        self._outages = outages
-        self._board = board
-        self._room = room
+        self._owner_outages = outages
+        self._server_stats = server_stats
+        self._capacity = capacity
         self._clock = clock
-        self._kept: dict[tuple[str, frozenset[str]], _KeptLoad] = {}
-        self._turns = RetrySchedule(clock)
+        self._cached_loads: dict[tuple[str, frozenset[str]], _CachedLoad] = {}
+        self._retry_schedule = RetrySchedule(clock)
 
-    def servers_changed(self) -> None:
+    def invalidate_loads(self) -> None:
         """Count all loads anew: the servers are others, or may not be used now."""
-        self._kept.clear()
+        self._cached_loads.clear()
 
-    def owner(self, entry: WaitingRequest) -> ServerRecord | None:
+    def ready_owner(self, entry: WaitingRequest) -> ServerRecord | None:
         """Return the server that a request by key may go to now."""
         if entry.key is None:
             return None
@@ -73,60 +73,60 @@
         if load is None:
             return self._refusal_without_server(entry)
         loads[entry.tried] = load
-        ahead += self._promised_before(entry, load, ahead)
-        if self._clock.now() + load.wait_s(ahead) + load.least_s <= entry.limit_s:
+        ahead += self._scheduled_before(entry, load, ahead)
+        if self._clock.now() + load.wait_s(ahead) + load.min_service_time_s <= entry.limit_s:
             return None
         return self._overload(entry, load, ahead)
 
     def refusal_without_owner(self, entry: WaitingRequest) -> Refusal | None:
         """Return a refusal where the key is not likely to be served again in time; None: it is."""
-        return self._outages.refusal_if_late(entry)
+        return self._owner_outages.refusal_if_late(entry)
 
-    def last_refusal(self, entry: WaitingRequest) -> Refusal:
+    def timeout_refusal(self, entry: WaitingRequest) -> Refusal:
         """Return why a request whose time is up gets no place."""
         servers = self._servers(entry)
-        if entry.key is not None and (entry.line is None or not servers):
-            return self._outages.refusal(entry)
-        if entry.line is None or not servers:
+        if entry.key is not None and (entry.queue is None or not servers):
+            return self._owner_outages.refusal(entry)
+        if entry.queue is None or not servers:
             return self._refusal_without_server(entry)
-        cost_s = self._board.service_s_of(entry.service)
-        ahead = entry.line.count_before_last(entry, cost_s)
-        load = CandidateLoad.of(servers, self._board, self._room)
+        cost_s = self._server_stats.mean_service_time_s(entry.service)
+        ahead = entry.queue.count_before_last(entry, cost_s)
+        load = CandidateLoad.of(servers, self._server_stats, self._capacity)
         return self._overload(entry, load, ahead)
 
-    def claim_turn(self, entry: WaitingRequest) -> bool:
+    def claim_scheduled_retry(self, entry: WaitingRequest) -> bool:
         """Tell whether a request comes at a turn that its caller was promised."""
-        owner = self.owner(entry)
+        owner = self.ready_owner(entry)
         name = (entry.service, None if owner is None else owner.server_id)
-        return entry.caller_mark != 0 and self._turns.claim(name, entry.caller_mark)
+        return entry.caller_mark != 0 and self._retry_schedule.claim(name, entry.caller_mark)
 
-    def note_granted(self, entry: WaitingRequest) -> None:
+    def cancel_scheduled_retry(self, entry: WaitingRequest) -> None:
         """Take note that a request has got a place: its caller needs no later turn."""
         if entry.caller_mark:
-            self._turns.drop((entry.service, entry.owner_id or None), entry.caller_mark)
+            self._retry_schedule.cancel((entry.service, entry.owner_id or None), entry.caller_mark)
 
-    def has_turn(self, service: str, caller_mark: int) -> bool:
+    def is_retry_due(self, service: str, caller_mark: int) -> bool:
         """Tell whether it is the turn of a caller at servers without keys."""
-        return self._turns.is_due((service, None), caller_mark)
+        return self._retry_schedule.is_due((service, None), caller_mark)
 
-    def turn_kept_for_s(self, name: QueueName, servers: list[ServerRecord]) -> float:
+    def reserved_for_s(self, name: QueueName, servers: list[ServerRecord]) -> float:
         """Return for how long the next turn at the servers of a line is kept for callers who were
         promised it; 0: it is not, or their rate does not bind them all."""
-        rate_per_s = self._room.common_rate_per_s(servers)
+        rate_per_s = self._capacity.total_rate_per_s(servers)
         if not rate_per_s:
             return 0.0
-        return self._turns.kept_for_s(name, 1 / rate_per_s)
+        return self._retry_schedule.reserved_for_s(name, 1 / rate_per_s)
 
-    def line_s(self, service: str) -> float:
+    def schedule_length_s(self, service: str) -> float:
         """Return the time until the last turn that is promised at servers without keys."""
-        return self._turns.line_s((service, None))
+        return self._retry_schedule.length_s((service, None))
 
-    def _promised_before(self, entry: WaitingRequest, load: CandidateLoad, ahead: int) -> int:
+    def _scheduled_before(self, entry: WaitingRequest, load: CandidateLoad, ahead: int) -> int:
         """Return the promised turns that come before that of a request."""
-        if load.rate_per_s is None or entry.has_turn:
+        if load.rate_per_s is None or entry.is_scheduled_retry:
             return 0
         until_s = load.wait_s(ahead) + 1 / load.rate_per_s
-        return self._turns.count_within((entry.service, entry.owner_id or None), until_s)
+        return self._retry_schedule.count_within((entry.service, entry.owner_id or None), until_s)
 
     def _overload(self, entry: WaitingRequest, load: CandidateLoad, ahead: int) -> Refusal:
         refusal = queue_refusals.overload(entry.owner_id, load, ahead)
@@ -134,33 +134,33 @@
             return refusal
         name = (entry.service, entry.owner_id or None)
         earliest_s = refusal.retry_after_s
-        turn_s = self._turns.book(name, entry.caller_mark, load.rate_per_s, earliest_s)
+        turn_s = self._retry_schedule.schedule(name, entry.caller_mark, load.rate_per_s, earliest_s)
         return replace(refusal, retry_after_s=turn_s)
 
     def _refusal_without_server(self, entry: WaitingRequest) -> Refusal:
-        if self._choice.has_paced_elsewhere(entry.service):
-            return queue_refusals.for_broker("")
-        left_s = self._choice.rest_left_s(entry.service)
+        if self._selector.has_paced_elsewhere(entry.service):
+            return queue_refusals.paced_by_broker("")
+        left_s = self._selector.rest_left_s(entry.service)
         return queue_refusals.resting("", left_s) if left_s else queue_refusals.no_server()
 
     def _load(self, entry: WaitingRequest) -> CandidateLoad | None:
         """Return the load of the servers that a request may go to; None: there is none."""
         now_s = self._clock.now()
         name = (entry.service, entry.tried)
-        kept = self._kept.get(name) if entry.key is None else None
+        kept = self._cached_loads.get(name) if entry.key is None else None
         if kept is not None and now_s < kept.until_s:
             return kept.load
         servers = self._servers(entry)
         if not servers:
             return None
-        load = CandidateLoad.of(servers, self._board, self._room)
+        load = CandidateLoad.of(servers, self._server_stats, self._capacity)
         if entry.key is None and not entry.tried:
-            self._kept[name] = _KeptLoad(load, now_s + KEPT_S)
+            self._cached_loads[name] = _CachedLoad(load, now_s + LOAD_CACHE_S)
         return load
 
     def _servers(self, entry: WaitingRequest) -> list[ServerRecord]:
         if entry.key is not None:
-            owner = self.owner(entry)
+            owner = self.ready_owner(entry)
             return [] if owner is None else [owner]
-        usable = self._choice.usable(entry.service)
+        usable = self._selector.usable(entry.service)
         return [each for each in usable if each.server_id not in entry.tried]
--- a/indigoworks/gateway/attempt_gate.py
+++ b/indigoworks/gateway/attempt_gate.py
@@ -9,7 +9,7 @@
 from indigoworks.gateway.refusal import Refusal
 from indigoworks.gateway.request_state import RequestState
 
-JUDGEMENT_S = 1.5
+VERDICT_S = 1.5
 """Longest time from the end of a try to the word on whether its server ended: one that falls silent
 is noticed by a new connection that does not come about."""
 
@@ -21,15 +21,17 @@
     Servers end for other reasons as well: the first try that is served opens the way for all.
     """
 
-    def __init__(self, harm: CrashAttribution, locks: AttemptLocks, clock: Clock) -> None:
-        self._harm = harm
+    def __init__(
+        self, crash_attribution: CrashAttribution, locks: AttemptLocks, clock: Clock
+    ) -> None:
+        self._crash_attribution = crash_attribution
         self._locks = locks
         self._clock = clock
 
     def is_suspect(self, request: ClientRequest) -> bool:
         """Tell whether a server ended, or may have ended, under a try of a request since one was
         served."""
-        return self._harm.suspect_mark(request) != 0
+        return self._crash_attribution.suspect_mark(request) != 0
 
     async def lock(self, state: RequestState, limit_s: float) -> AttemptLock | Refusal | None:
         """Wait until no other try is under way; returns the lock, why it is not to be had in time,
@@ -37,12 +39,12 @@
 
         :param limit_s: clock reading until which its caller may wait for it.
         """
-        mark = self._harm.suspect_mark(state.request)
-        lease_s = state.deadline_s - self._clock.now() + JUDGEMENT_S
+        mark = self._crash_attribution.suspect_mark(state.request)
+        lease_s = state.deadline_s - self._clock.now() + VERDICT_S
         lock = await self._locks.acquire(mark, limit_s, lease_s)
         if lock is None:
             # A lock is free again once its try is judged; so much holds without one, too.
-            await self._harm.wait_until_judged(limit_s)
+            await self._crash_attribution.wait_for_verdicts(limit_s)
         return lock
 
     def unlock(self, state: RequestState, lock: AttemptLock | None, ended_before: int) -> None:
@@ -54,9 +56,9 @@
             return
 
         def release(judged: "asyncio.Task[None] | None" = None) -> None:
-            lock.release(state.is_served, lambda: state.servers_ended > ended_before)
+            lock.release(state.is_served, lambda: state.servers_crashed > ended_before)
 
-        if state.judgement is None or state.judgement.done():
+        if state.verdict is None or state.verdict.done():
             release()
         else:
-            state.judgement.add_done_callback(release)
+            state.verdict.add_done_callback(release)
--- a/indigoworks/gateway/call_metrics.py
+++ b/indigoworks/gateway/call_metrics.py
@@ -7,7 +7,7 @@
 from indigoworks.common.clock import Clock
 from indigoworks.common.metrics import Metrics
 
-BROKEN_OFF = "broken_off"
+CANCELLED = "broken_off"
 """Outcome of a call that this process gave up: it has no time."""
 
 _Answer = TypeVar("_Answer")
@@ -27,7 +27,7 @@
         self._ended = metrics.counter(f"{name}s", description, kind, "outcome")
         self._elapsed_s = metrics.histogram(f"{name}_seconds", f"{description}: time", kind)
 
-    async def counted(
+    async def observe(
         self, kind: str, answer: Awaitable[_Answer], outcome_of: Callable[[_Answer], str]
     ) -> _Answer:
         """Wait for an answer, and count it."""
@@ -35,7 +35,7 @@
         try:
             result = await answer
         except asyncio.CancelledError:
-            self._ended.add(kind, BROKEN_OFF)
+            self._ended.add(kind, CANCELLED)
             raise
         self._elapsed_s.add(self._clock.now() - started_s, kind)
         self._ended.add(kind, outcome_of(result))
--- a/indigoworks/gateway/candidate_load.py
+++ b/indigoworks/gateway/candidate_load.py
@@ -21,33 +21,35 @@
 
     slots: float
     in_flight: int
-    service_s: float
-    least_s: float
+    mean_service_time_s: float
+    min_service_time_s: float
     rate_per_s: float | None = None
-    turn_s: float = 0.0
+    permit_in_s: float = 0.0
 
     @classmethod
     def of(
-        cls, servers: Sequence[ServerRecord], board: ServerStats, room: CapacityTracker
+        cls, servers: Sequence[ServerRecord], server_stats: ServerStats, capacity: CapacityTracker
     ) -> "CandidateLoad":
         """Return the load of `servers`, which are not none."""
-        times_s = [board.service_s(each) for each in servers]
-        rate_per_s = room.common_rate_per_s(servers)
+        times_s = [server_stats.service_time_s(each) for each in servers]
+        rate_per_s = capacity.total_rate_per_s(servers)
         is_mixed = rate_per_s is None
         return cls(
-            sum(map(room.slots_of, servers, times_s))
+            sum(map(capacity.effective_slots, servers, times_s))
             if is_mixed
             else sum(each.slots for each in servers),
-            sum(board.in_flight(each.server_id) for each in servers),
+            sum(server_stats.in_flight(each.server_id) for each in servers),
             sum(times_s) / len(times_s),
             min(times_s),
             rate_per_s,
-            0.0 if is_mixed else room.turn_in_s(servers),
+            0.0 if is_mixed else capacity.permit_in_s(servers),
         )
 
     def wait_s(self, ahead: int) -> float:
         """Return how long it takes until `ahead` requests and one more have a place."""
-        by_slots_s = max(0, self.in_flight - self.slots + ahead + 1) / self.slots * self.service_s
+        by_slots_s = (
+            max(0, self.in_flight - self.slots + ahead + 1) / self.slots * self.mean_service_time_s
+        )
         if self.rate_per_s is None:
             return by_slots_s
-        return max(by_slots_s, self.turn_s + ahead / self.rate_per_s)
+        return max(by_slots_s, self.permit_in_s + ahead / self.rate_per_s)
--- a/indigoworks/gateway/configuration_refusals.py
+++ b/indigoworks/gateway/configuration_refusals.py
@@ -8,7 +8,7 @@
 from indigoworks.gateway.request_log import RequestLog
 from indigoworks.routes.configuration_holder import ConfigurationHolder
 
-COME_BACK_S = 0.3
+RETRY_AFTER_S = 0.3
 """Time to come back after a refusal for a configuration that is not there yet: gateways
 on slow links have a change 0.2 s after the store in the median, 0.8 s at most, and 1.3 s at most of
 changes in quick succession (simulated zone, 2,533 routes)."""
@@ -24,12 +24,12 @@
     def __init__(
         self,
         configurations: ConfigurationHolder,
-        answers: GatewayResponses,
+        responses: GatewayResponses,
         log: RequestLog,
         clock: Clock,
     ) -> None:
         self._configurations = configurations
-        self._answers = answers
+        self._responses = responses
         self._log = log
         self._clock = clock
 
@@ -42,27 +42,29 @@
     def no_route(self, request: ClientRequest, version: int) -> ClientResponse:
         """Answer a request for which configuration `version` has no route."""
         if self.is_outdated():
-            return self.come_back(request)
+            return self.retry_later(request)
         self._log.no_route(request, version)
-        return self._answers.no_route(request)
+        return self._responses.no_route(request)
 
     def no_key(self, request: ClientRequest, service: str, version: int) -> ClientResponse:
         """Answer a request without a key for a service that has keys in configuration `version`."""
         if self.is_outdated():
-            return self.come_back(request)
+            return self.retry_later(request)
         self._log.no_key(request, service, version)
-        return self._answers.no_key(request)
+        return self._responses.no_key(request)
 
     def header_too_large(self, request: ClientRequest) -> ClientResponse:
         """Answer a request whose header is over the limit in force."""
-        return self.come_back(request) if self.is_outdated() else self._answers.too_large(request)
+        return (
+            self.retry_later(request) if self.is_outdated() else self._responses.too_large(request)
+        )
 
-    def come_back(self, request: ClientRequest) -> ClientResponse:
+    def retry_later(self, request: ClientRequest) -> ClientResponse:
         """Answer that the request may be allowed once the newest configuration is in force."""
         return self.refused(request, RefusalReason.CONFIGURATION_BEHIND)
 
     def refused(self, request: ClientRequest, reason: RefusalReason) -> ClientResponse:
         """Answer that the request has not run and when to come back."""
-        refusal = Refusal(reason, COME_BACK_S)
+        refusal = Refusal(reason, RETRY_AFTER_S)
         self._log.refused(request, None, refusal)
-        return self._answers.refused(request, refusal)
+        return self._responses.refused(request, refusal)
--- a/indigoworks/gateway/connection_pool.py
+++ b/indigoworks/gateway/connection_pool.py
@@ -8,10 +8,10 @@
 from indigoworks.gateway.response_collector import HeadListener, ignore_head
 from indigoworks.gateway.server_connection import OpenConnection, ServerConnection
 
-DEFAULT_KEEP_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 """How long an idle connection is used again where the server does not say how long it keeps it."""
 
-KEEP_SHARE = 0.6
+KEEP_ALIVE_SHARE = 0.6
 """Share of the time that the server keeps a connection for which it is used again: one that the
 server may be closing is no place for a request that must not run twice."""
 
@@ -43,7 +43,7 @@
         self._clock = clock
         self._idle: deque[_Idle] = deque()
 
-    def take(self) -> ServerConnection | None:
+    def acquire(self) -> ServerConnection | None:
         """Return an idle connection that can be used, or None."""
         now_s = self._clock.now()
         while self._idle:
@@ -53,22 +53,22 @@
             idle.connection.abort()
         return None
 
-    def new(self) -> ServerConnection:
+    def create(self) -> ServerConnection:
         """Return a connection that is not yet connected."""
         connection = self._open_connection(self._address, self._id_header)
         connection.on_head = self._on_head
         return connection
 
-    def give_back(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
+    def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
         """Keep a connection for the next request, if it can take one."""
         if not connection.is_reusable:
             connection.abort()
             return
-        kept_s = DEFAULT_KEEP_S if keep_alive_s is None else keep_alive_s * KEEP_SHARE
+        kept_s = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s * KEEP_ALIVE_SHARE
         connection.watch_while_idle()
         self._idle.append(_Idle(connection, self._clock.now() + kept_s))
 
-    def drop_old(self) -> None:
+    def close_expired(self) -> None:
         """Close what rested too long."""
         now_s = self._clock.now()
         while self._idle and self._idle[0].until_s <= now_s:
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -83,7 +83,7 @@
         self._policy = HoldPolicy(ports.health, settings.hold_max_s)
         self._reach = ServerReach(clock)
         self.keepers = KeeperSet(self._make_keeper)
-        self._board: ServerStats | None = None
+        self._server_stats: ServerStats | None = None
         self.send_report_now: Callable[[], None] = _nothing
         self.owners_changed: Callable[[], None] = _nothing
         self.on_rows: Callable[[Sequence[Row]], None] = _ignore_rows
@@ -94,11 +94,11 @@
             lambda: self.group.part,
             self._feed_wait_s,
             clock,
-            self._take_rows,
-            self._take_rows,
+            self._apply_rows,
+            self._apply_rows,
             self.leadership.record_proof,
         )
-        platform.on_path_failed(self.follower.request_reread)
+        platform.on_store_path_failed(self.follower.request_reread)
         ports.health.eras.on_new(self.follower.request_reread)
         self.group_version = NO_VERSION
         self._lags = (
@@ -116,13 +116,13 @@
         await self._ports.health.eras.wait_known()
         await self.follower.run()
 
-    def use_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Go by what of `settings` can change in a running process."""
         self._policy.set_hold_max(settings.hold_max_s)
 
-    def use_board(self, board: ServerStats) -> None:
+    def use_server_stats(self, server_stats: ServerStats) -> None:
         """Take the measured times of servers from `board`."""
-        self._board = board
+        self._server_stats = server_stats
 
     def beat(self) -> LeaderBeat | None:
         """Return the beat to send; None where this process does not lead."""
@@ -145,7 +145,7 @@
         now_s = self._clock.now()
         return max(0.0, before.until_s(now_s, self._policy.longest_max_s) - now_s)
 
-    def take_report(self, report: PeerReport) -> None:
+    def apply_report(self, report: PeerReport) -> None:
         """Take a report of a peer."""
         era = max(report.operator_row_version.era, report.group_version.era)
         self._ports.health.eras.record_era(era, report.node)
@@ -167,7 +167,7 @@
         configuration = self._platform.configurations.current()
         return 0 if configuration is None else configuration.version
 
-    def _take_rows(self, rows: Sequence[Row]) -> None:
+    def _apply_rows(self, rows: Sequence[Row]) -> None:
         self.group_version = max((self.group_version, *(each.version for each in rows)))
         self.leadership.apply(rows)
         self._directory.apply(rows)
@@ -219,7 +219,7 @@
             self._platform.servers,
             self._peers,
             self._keyed_services,
-            self._speed_of,
+            self._service_time_of,
             self._clock,
         )
 
@@ -229,9 +229,9 @@
             return ()
         return [each.name for each in configuration.keyed_services()]
 
-    def _speed_of(self, server_id: str) -> float:
-        assert self._board is not None
-        return self._board.service_s_by_id(server_id)
+    def _service_time_of(self, server_id: str) -> float:
+        assert self._server_stats is not None
+        return self._server_stats.service_time_by_id_s(server_id)
 
 
 def _ignore_rows(rows: Sequence[Row]) -> None:
--- a/indigoworks/gateway/crash_attribution.py
+++ b/indigoworks/gateway/crash_attribution.py
@@ -16,12 +16,12 @@
 from indigoworks.servers.server_list import ServerList
 from indigoworks.servers.server_record import ServerRecord
 
-MAX_ENDED_IN_A_TRY = 2
+MAX_CRASHES_PER_ATTEMPT = 2
 """Servers that may end under one try of a caller, repeats by the gateway included. The first may
 have ended for any reason, and the repeat serves the request; after the second the caller is told. A
 harmful request that comes once ends two servers, and three without this bound (simulated)."""
 
-TELL_AFTER_S = 0.004
+BROADCAST_DELAY_S = 0.004
 """A server that lives takes a new connection within this time, so that peers need not hear of the
 connection that broke off: full servers reset many."""
 
@@ -39,16 +39,16 @@
         self,
         quarantine: Quarantine,
         doubts: DoubtTable,
-        watch: ReachabilityMonitor,
+        reachability: ReachabilityMonitor,
         servers: ServerList,
         clock: Clock,
     ) -> None:
         self._quarantine = quarantine
         self._doubts = doubts
-        self._watch = watch
+        self._reachability = reachability
         self._servers = servers
         self._clock = clock
-        self._judgements: set[asyncio.Task[None]] = set()
+        self._verdicts: set[asyncio.Task[None]] = set()
 
     def refusal(self, request: ClientRequest) -> Refusal | None:
         """Return why a request must reach no server; None: it may."""
@@ -66,48 +66,52 @@
         mark = self._quarantine.suspect_mark(content) or self._doubts.find(content)
         return 0 if mark is None else mark.short
 
-    def note_sending(self, state: RequestState) -> None:
+    def record_send(self, state: RequestState) -> None:
         """Take note that a request is about to be sent: what is known of it now came before."""
-        state.known_end_slots = ()
+        state.known_crash_windows = ()
         state.doubts = frozenset()
         if self._quarantine.has_suspects():
-            state.known_end_slots = self._quarantine.known_windows(self._content(state.request))
+            state.known_crash_windows = self._quarantine.known_windows(self._content(state.request))
         if self._doubts.has_any():
             state.doubts = self._doubts.open_numbers(self._content(state.request))
-            state.doubted_slot = self._quarantine.window_of(self._clock.now())
+            state.doubt_window = self._quarantine.window_of(self._clock.now())
 
-    def note(self, state: RequestState, server: ServerRecord, answer: ServerResponse) -> None:
+    def record_response(
+        self, state: RequestState, server: ServerRecord, answer: ServerResponse
+    ) -> None:
         """Take how a request left a server; `may_repeat` knows what came of it."""
         if answer.result is ExchangeResult.ANSWERED:
             if not answer.is_not_run:
                 self._quarantine.record_served(self._content(state.request))
         elif answer.was_sent:
-            judging = self._judge(state, server, answer, self._clock.now(), state.known_end_slots)
-            state.judgement = asyncio.ensure_future(judging)
-            self._judgements.add(state.judgement)
-            state.judgement.add_done_callback(self._judgements.discard)
-
-    async def may_repeat(self, state: RequestState) -> bool:
+            judging = self._attribute(
+                state, server, answer, self._clock.now(), state.known_crash_windows
+            )
+            state.verdict = asyncio.ensure_future(judging)
+            self._verdicts.add(state.verdict)
+            state.verdict.add_done_callback(self._verdicts.discard)
+
+    async def may_retry(self, state: RequestState) -> bool:
         """Tell whether the harm that a try has done lets it be sent again."""
-        if state.judgement is not None:
-            await asyncio.shield(state.judgement)
-        return state.servers_ended < MAX_ENDED_IN_A_TRY
+        if state.verdict is not None:
+            await asyncio.shield(state.verdict)
+        return state.servers_crashed < MAX_CRASHES_PER_ATTEMPT
 
-    async def wait_until_judged(self, limit_s: float) -> None:
+    async def wait_for_verdicts(self, limit_s: float) -> None:
         """Wait until it is known of all servers that may have ended here whether they did.
 
         :param limit_s: clock reading until which to wait.
         """
-        if self._judgements:
+        if self._verdicts:
             left_s = max(0.0, limit_s - self._clock.now())
-            await asyncio.wait(set(self._judgements), timeout=left_s)
+            await asyncio.wait(set(self._verdicts), timeout=left_s)
 
     def close(self) -> None:
         """End what is under way."""
-        for task in self._judgements:
+        for task in self._verdicts:
             task.cancel()
 
-    async def _judge(
+    async def _attribute(
         self,
         state: RequestState,
         server: ServerRecord,
@@ -119,10 +123,10 @@
         # A server that is slow to answer gives no sign: under load there are many of these.
         is_broken = answer.result is ExchangeResult.LOST
         doubt = self._doubts.raise_for(content) if is_broken else None
-        judging = asyncio.ensure_future(self._has_ended(server, lost_s))
+        judging = asyncio.ensure_future(self._has_crashed(server, lost_s))
         try:
             if doubt is not None:
-                await self._tell_unless_lives(doubt, judging)
+                await self._broadcast_unless_alive(doubt, judging)
             has_ended = await judging
         finally:
             judging.cancel()
@@ -131,16 +135,16 @@
                 self._doubts.lift(doubt)
             return
         request_id = state.request.request_id
-        state.servers_ended += 1
+        state.servers_crashed += 1
         if self._doubts.has_open(state.doubts):
             # Word of the end that was a sign only when this try was sent is still on its way.
-            known_slots = self._with_doubted(content, known_slots, state.doubted_slot)
+            known_slots = self._with_doubted(content, known_slots, state.doubt_window)
         self._quarantine.record_crash(content, request_id, server.server_id, lost_s, known_slots)
 
-    async def _tell_unless_lives(self, doubt: Doubt, judging: "asyncio.Future[bool]") -> None:
+    async def _broadcast_unless_alive(self, doubt: Doubt, judging: "asyncio.Future[bool]") -> None:
         """Tell the peers of a doubt as soon as the server has ended, or does not take a connection
         at once."""
-        done, _ = await asyncio.wait({judging}, timeout=TELL_AFTER_S)
+        done, _ = await asyncio.wait({judging}, timeout=BROADCAST_DELAY_S)
         if not done or judging.result():
             self._doubts.announce(doubt)
 
@@ -151,9 +155,9 @@
         known = known_slots or (NO_WINDOW,) * len(content.scopes())
         return tuple(max(each, doubted_slot) for each in known)
 
-    async def _has_ended(self, server: ServerRecord, lost_s: float) -> bool:
+    async def _has_crashed(self, server: ServerRecord, lost_s: float) -> bool:
         """Tell whether a server ended by `lost_s`, as far as that shows by now."""
-        if not await self._watch.is_reached_since(server, lost_s):
+        if not await self._reachability.has_responded_since(server, lost_s):
             return True
         # Another life may have its address already.
         return self._servers.is_gone(server.server_id)
--- a/indigoworks/gateway/front_exchange.py
+++ b/indigoworks/gateway/front_exchange.py
@@ -47,7 +47,7 @@
         """Tell whether a newer configuration may allow what the limits do not."""
         ...
 
-    async def answer(self, request: ClientRequest) -> ClientResponse:
+    async def respond(self, request: ClientRequest) -> ClientResponse:
         """Answer one request."""
         ...
 
@@ -55,7 +55,7 @@
         """Refuse a request whose header is over the limits."""
         ...
 
-    def come_back(self, request: ClientRequest) -> ClientResponse:
+    def retry_later(self, request: ClientRequest) -> ClientResponse:
         """Refuse a request whose body is over outdated limits; it may come again."""
         ...
 
@@ -77,7 +77,7 @@
         self._is_header_too_large = False
         self._is_body_too_large = False
         self._task: asyncio.Task[None] | None = None
-        self._rests_from_s = clock.now()
+        self._idle_since_s = clock.now()
         self._first_limits = server.limits
 
     def headers_received(
@@ -109,18 +109,18 @@
         self._connection.set_close_callback(self.on_connection_close)
         self._task = asyncio.ensure_future(self._run(self._request()))
 
-    def close_if_resting(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the connection unless any part of a request has come."""
         if self._is_before_header() and not self._has_bytes():
             self._connection.stream.close()
 
-    def close_if_rested_too_long(self) -> None:
+    def close_if_timed_out(self) -> None:
         """Close the connection if its caller may rest no longer, or takes too long for a header."""
         known = self._known_limits()
-        left_s = self._rests_from_s + max(each.idle_timeout_s for each in known)
+        left_s = self._idle_since_s + max(each.idle_timeout_s for each in known)
         if self._clock.now() < left_s:
             return
-        self.close_if_resting()
+        self.close_if_idle()
         left_s += max(each.header_timeout_s for each in known)
         if self._clock.now() >= left_s and self._is_before_header() and not self._is_readable():
             self._connection.stream.close()
@@ -187,8 +187,8 @@
         if self._is_header_too_large:
             return self._server.header_too_large(request)
         if self._is_body_too_large:
-            return self._server.come_back(request)
-        return await self._server.answer(request)
+            return self._server.retry_later(request)
+        return await self._server.respond(request)
 
     async def _write(self, request: ClientRequest, answer: ClientResponse) -> None:
         headers = HTTPHeaders()
--- a/indigoworks/gateway/front_server.py
+++ b/indigoworks/gateway/front_server.py
@@ -73,7 +73,7 @@
         """Tell whether a newer configuration may allow what the limits in force do not."""
         return self._refusals.is_outdated()
 
-    def close_rested(self) -> None:
+    def close_idle(self) -> None:
         """Close connections that have rested for too long, or do not end a header.
 
         The HTTP library's own time-out would close a connection whose request has just been read.
@@ -81,7 +81,7 @@
         if self.are_limits_outdated():
             return
         for exchange in list(self._exchanges.values()):
-            exchange.close_if_rested_too_long()
+            exchange.close_if_timed_out()
 
     def start_request(self, server_conn: object, request_conn: HTTPConnection) -> FrontExchange:
         """Begin to read a request; called by the HTTP library."""
@@ -92,7 +92,7 @@
     def on_close(self, server_conn: object) -> None:
         """Take note of nothing: the exchange notices the close itself."""
 
-    async def answer(self, request: ClientRequest) -> ClientResponse:
+    async def respond(self, request: ClientRequest) -> ClientResponse:
         """Let the handler answer one request."""
         return await self._handler(request)
 
@@ -100,9 +100,9 @@
         """Refuse a request whose header is over the limits."""
         return self._refusals.header_too_large(request)
 
-    def come_back(self, request: ClientRequest) -> ClientResponse:
+    def retry_later(self, request: ClientRequest) -> ClientResponse:
         """Refuse a request whose body is over outdated limits; it may come again."""
-        return self._refusals.come_back(request)
+        return self._refusals.retry_later(request)
 
     def stop_listening(self) -> None:
         """Accept no further connections."""
@@ -119,5 +119,5 @@
             if not open_exchanges and self.in_progress.count == 0:
                 return
             for exchange in open_exchanges:
-                exchange.close_if_resting()
+                exchange.close_if_idle()
             await self._clock.sleep(CLOSE_PERIOD_S)
--- a/indigoworks/gateway/gateway.py
+++ b/indigoworks/gateway/gateway.py
@@ -35,7 +35,7 @@
 from indigoworks.ownership.ownership_tables import OwnershipTables
 from indigoworks.rowstore.transaction import RowPut
 
-TIDY_PERIOD_S = 1.0
+MAINTENANCE_PERIOD_S = 1.0
 REGISTER_RETRY_S = 0.3
 REGISTERED_PER_S = 40.0
 """Gateways that write their address again each second when the store has lost the addresses: those
@@ -59,17 +59,17 @@
 
     def __init__(
         self,
-        settings_in_force: ActiveSettings,
+        active_settings: ActiveSettings,
         ports: PlatformPorts,
         line_rates: LineRates,
     ) -> None:
-        self._settings_in_force = settings_in_force
-        settings = settings_in_force.current
+        self._active_settings = active_settings
+        settings = active_settings.current
         self._clock = BootClock()
         self._boot = uuid.uuid4().hex[:8]
         random = self._random = Random(self._boot)
-        self._metric_values = Metrics()
-        ports = self._ports = self._counted(ports)
+        self._metrics = Metrics()
+        ports = self._ports = self._instrumented(ports)
         self._peers = PeerTable(self._clock, settings.node)
         self._directory = PeerDirectory(settings.node)
         self._relay = RelaySubsystem(
@@ -99,7 +99,7 @@
             tables,
             self._peers,
             self._directory,
-            self._metric_values,
+            self._metrics,
             line_rates,
             self._clock,
             random,
@@ -128,14 +128,14 @@
             self._clock,
         )
         self._status = StatusSubsystem(
-            settings_in_force,
+            active_settings,
             self._boot,
             ports,
             self._platform,
             self._control,
             self._peers,
             self._directory,
-            self._metric_values,
+            self._metrics,
             self._clock,
         )
         self._tasks: list[asyncio.Task[None]] = []
@@ -149,18 +149,18 @@
             line_rates,
             self._clock,
         )
-        gauges.add_to(self._metric_values)
+        gauges.add_to(self._metrics)
 
     @property
     def _settings(self) -> GatewaySettings:
-        return self._settings_in_force.current
+        return self._active_settings.current
 
     # ---- life ----
 
     async def run(self) -> None:
         """Run until a stop signal, then finish what is in progress."""
         stop = asyncio.Event()
-        install_signal_handlers(stop.set, self._settings_in_force.reload)
+        install_signal_handlers(stop.set, self._active_settings.reload)
         await self._exchange.open()
         await self._requests.brokers.open()
         self._status.start()
@@ -175,7 +175,7 @@
             self._requests.run(),
             self._relay.server.run(),
             self._control.member.run(),
-            self._tidy(),
+            self._run_maintenance(),
         ):
             self._start(work)
         log_message(
@@ -259,11 +259,11 @@
             self._relay.capacity,
         )
 
-    async def _tidy(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await self._clock.sleep(TIDY_PERIOD_S)
-            self._requests.tidy()
-            self._platform.tidy()
+            await self._clock.sleep(MAINTENANCE_PERIOD_S)
+            self._requests.drop_expired()
+            self._platform.end_stale_evacuations()
 
     # ---- exchange ----
 
@@ -271,23 +271,23 @@
         return self._control.leadership.row.node
 
     def _connect_parts(self) -> None:
-        self._control.use_board(self._requests.board)
+        self._control.use_server_stats(self._requests.server_stats)
         self._control.send_report_now = self._exchange.sender.send_soon
         telling = CoalescedCall(self._exchange.sender.send_soon)
         self._requests.quarantine.on_unreported = telling.ask
         self._requests.on_notice = telling.ask
-        self._control.on_rows = self._requests.take_rows
+        self._control.on_rows = self._requests.apply_rows
         self._control.owners_changed = self._requests.queue.capacity_changed
         for part in (self._platform, self._requests, self._control):
-            self._settings_in_force.on_change(part.use_settings)
+            self._active_settings.on_change(part.apply_settings)
         self._platform.on_servers_changed(self._requests.servers_changed)
 
     # ---- parts ----
 
-    def _counted(self, ports: PlatformPorts) -> PlatformPorts:
+    def _instrumented(self, ports: PlatformPorts) -> PlatformPorts:
         """Return the same ports, whose calls are counted."""
         return replace(
             ports,
-            store=InstrumentedStore(ports.store, self._metric_values, self._clock),
-            orders=InstrumentedOrders(ports.orders, self._metric_values, self._clock),
+            store=InstrumentedStore(ports.store, self._metrics, self._clock),
+            orders=InstrumentedOrders(ports.orders, self._metrics, self._clock),
         )
--- a/indigoworks/gateway/gateway_reports.py
+++ b/indigoworks/gateway/gateway_reports.py
@@ -39,13 +39,13 @@
         return ReportSource(self._make, self._has_news, self._take, leader_node)
 
     def _has_news(self) -> bool:
-        is_changed = self._requests.board.loads() != self._reported_loads
+        is_changed = self._requests.server_stats.loads() != self._reported_loads
         has_notes = self._requests.quarantine.has_unreported() or self._requests.notices.has_any()
         return is_changed or has_notes or self._requests.sampler.has_samples()
 
     def _make(self) -> PeerReport:
         self._sequence += 1
-        loads = self._requests.board.loads()
+        loads = self._requests.server_stats.loads()
         self._reported_loads = loads
         samples = self._requests.sampler.drain()
         self._peers.add_samples(samples)
@@ -64,10 +64,10 @@
             group_version=self._control.group_version,
             operator_row_version=self._platform.operator_row_version,
             suspects=self._requests.quarantine.next_report(),
-            notices=self._requests.notices.notes(),
+            notices=self._requests.notices.next_notes(),
         )
 
     def _take(self, report: PeerReport) -> None:
         self._requests.quarantine.merge_suspects(report.suspects)
-        self._requests.notices.take(report.notices)
-        self._control.take_report(report)
+        self._requests.notices.apply(report.notices)
+        self._control.apply_report(report)
--- a/indigoworks/gateway/gateway_settings.py
+++ b/indigoworks/gateway/gateway_settings.py
@@ -85,7 +85,7 @@
 
 
 def _invalid(path: str, fault: InvalidField) -> SettingsInvalid:
-    said = "is missing" if fault.said is None else f"is {json.dumps(fault.said)[:80]}"
+    said = "is missing" if fault.value is None else f"is {json.dumps(fault.value)[:80]}"
     return SettingsInvalid(
         f"The settings in {path} cannot be used: {fault.field} {said}.",
         f"Set {fault.field} to {fault.expected}; compare the file with {TEMPLATE}.",
--- a/indigoworks/gateway/instrumented_orders.py
+++ b/indigoworks/gateway/instrumented_orders.py
@@ -29,14 +29,14 @@
     ) -> OrderOutcome:
         """Grant keys, or renew the same grant."""
         answer = self._orders.grant(server, grant, timeout_s, may_send)
-        return await self._calls.counted("grant", answer, _outcome)
+        return await self._calls.observe("grant", answer, _outcome)
 
     async def release(
         self, server: ServerRecord, release: KeyRelease, timeout_s: float, may_send: MaySend
     ) -> OrderOutcome:
         """Release keys; the answer comes when the work on them has ended."""
         answer = self._orders.release(server, release, timeout_s, may_send)
-        return await self._calls.counted("release", answer, _outcome)
+        return await self._calls.observe("release", answer, _outcome)
 
 
 def _outcome(outcome: OrderOutcome) -> str:
--- a/indigoworks/gateway/instrumented_store.py
+++ b/indigoworks/gateway/instrumented_store.py
@@ -29,18 +29,18 @@
 
     async def read(self, table: str, part: str) -> Result[Rows, StoreError]:
         """Read one part of a table whole."""
-        return await self._calls.counted("read", self._store.read(table, part), _outcome)
+        return await self._calls.observe("read", self._store.read(table, part), _outcome)
 
     async def follow(
         self, table: str, after: StoreVersion, wait_s: float
     ) -> Result[Rows, StoreError]:
         """Wait for changed rows of a table."""
         answer = self._store.follow(table, after, wait_s)
-        return await self._calls.counted("follow", answer, _outcome)
+        return await self._calls.observe("follow", answer, _outcome)
 
     async def commit(self, transaction: Transaction) -> Result[StoreVersion, StoreError]:
         """Make a transaction."""
-        return await self._calls.counted("commit", self._store.commit(transaction), _outcome)
+        return await self._calls.observe("commit", self._store.commit(transaction), _outcome)
 
 
 def _outcome(result: Result[Any, StoreError]) -> str:
--- a/indigoworks/gateway/local_retry_budget.py
+++ b/indigoworks/gateway/local_retry_budget.py
@@ -40,7 +40,7 @@
         self._peers = peers
         self._clock = clock
         self._requests: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
         self._most_gateways = 1
 
     def set_budget(self, ratio: float, window_s: float, slack: float) -> None:
@@ -52,13 +52,13 @@
         self._window_s = window_s
         self._slack = slack
 
-    def add_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request of a caller."""
         self._requests.setdefault(service, deque()).append(self._clock.now())
 
-    def take(self, service: str) -> bool:
+    def try_consume(self, service: str) -> bool:
         """Take one repeat; False when the window's share is used up."""
-        repeats = self._repeats.setdefault(service, deque())
+        repeats = self._retries.setdefault(service, deque())
         if self._count(repeats) + 1 > self.allowed(service):
             return False
         repeats.append(self._clock.now())
@@ -70,7 +70,7 @@
 
     def used(self, service: str) -> int:
         """Return the repeats within the window."""
-        return self._count(self._repeats.get(service, deque()))
+        return self._count(self._retries.get(service, deque()))
 
     def allowed(self, service: str) -> float:
         """Return the repeats that the window allows."""
--- a/indigoworks/gateway/notice_reports.py
+++ b/indigoworks/gateway/notice_reports.py
@@ -34,16 +34,16 @@
     def has_any(self) -> bool:
         """Tell whether there is anything to tell."""
         notices = self._servers.notices
-        return notices.limits.has_reported() or (notices.has_any() and bool(self._wishes()))
+        return notices.limits.has_reported() or (notices.has_any() and bool(self._own_notes()))
 
-    def notes(self) -> tuple[SharedNotice, ...]:
+    def next_notes(self) -> tuple[SharedNotice, ...]:
         """Return what the next report says; empty without any work while nobody asks."""
         notices = self._servers.notices
-        wishes = self._wishes() if notices.has_any() else []
+        wishes = self._own_notes() if notices.has_any() else []
         limits = self._next_limits() if notices.limits.has_reported() else []
         return merge_notices([*wishes, *limits])
 
-    def _wishes(self) -> list[SharedNotice]:
+    def _own_notes(self) -> list[SharedNotice]:
         """Return the wishes that this process was told of itself."""
         notices = self._servers.notices
         resting = [
@@ -67,7 +67,7 @@
             for server_id, word in told
         ]
 
-    def take(self, notes: Iterable[SharedNotice]) -> None:
+    def apply(self, notes: Iterable[SharedNotice]) -> None:
         """Take what a report of a peer says."""
         known = tuple(notes)
         if not known:
--- a/indigoworks/gateway/owner_lookup.py
+++ b/indigoworks/gateway/owner_lookup.py
@@ -58,15 +58,19 @@
     """Joins the tables of owners with the list of servers, and with what owners said themselves."""
 
     def __init__(
-        self, tables: OwnershipTables, servers: ServerSource, board: ServerStats, clock: Clock
+        self,
+        tables: OwnershipTables,
+        servers: ServerSource,
+        server_stats: ServerStats,
+        clock: Clock,
     ) -> None:
         self._tables = tables
         self._servers = servers
-        self._board = board
+        self._server_stats = server_stats
         self._clock = clock
         self._not_held: dict[tuple[str, OwnedRange], _NotHeld] = {}
 
-    def note_not_held(self, service: str, key: int, server_id: str) -> None:
+    def record_not_held(self, service: str, key: int, server_id: str) -> None:
         """Take note that a server said it does not hold a key that the table gives it."""
         found = self._tables.find(service, key)
         if found is None or found.server_id != server_id:
@@ -88,7 +92,7 @@
         server = self._servers.get(found.server_id)
         if server is None or not self._servers.may_serve_own_keys(found.server_id):
             return Owner(OwnerState.UNREACHABLE, server, found.token, found.first)
-        if self._board.is_down(found.server_id):
+        if self._server_stats.is_down(found.server_id):
             return Owner(OwnerState.UNREACHABLE, server, found.token, found.first)
         if self._tables.is_pending(service, found) or self._is_not_held(service, found):
             return Owner(OwnerState.PENDING, server, found.token, found.first)
--- a/indigoworks/gateway/owner_outages.py
+++ b/indigoworks/gateway/owner_outages.py
@@ -16,7 +16,7 @@
 """Past outages of each kind that an expectation goes by: the oldest is forgotten first, so that a
 gateway adapts within one trouble. A server that is lost leaves a handful of ranges behind."""
 
-OWNER_LOOK_S = 0.05
+OWNER_POLL_S = 0.05
 """Time between two looks at a request without an owner: the longer the outage lasts, the longer it
 is expected to last, and some end without a message, such as the rest after a 421 (0.05 s)."""
 
@@ -59,9 +59,9 @@
     ones that lasted at least as long: half of them were over by then.
     """
 
-    def __init__(self, owners: OwnerLookup, board: ServerStats, clock: Clock) -> None:
+    def __init__(self, owners: OwnerLookup, server_stats: ServerStats, clock: Clock) -> None:
         self._owners = owners
-        self._board = board
+        self._server_stats = server_stats
         self._clock = clock
         self._open: dict[tuple[str, int], _Outage] = {}
         self._lengths_s: dict[OwnerState, deque[float]] = {}
@@ -87,7 +87,7 @@
         owner = self._owners.find(entry.service, entry.key)
         return queue_refusals.no_owner(owner, self._left_s(entry.service, entry.key, owner))
 
-    def note_ended(self) -> None:
+    def close_ended(self) -> None:
         """Take note of the outages whose keys have an owner again; called when owners change."""
         for name, outage in list(self._open.items()):
             if self._owners.find(outage.service, outage.key).state is not OwnerState.READY:
@@ -116,8 +116,8 @@
 
     def _service_s(self, owner: Owner, service: str) -> float:
         if owner.server is None:
-            return self._board.service_s_of(service)
-        return self._board.service_s(owner.server)
+            return self._server_stats.mean_service_time_s(service)
+        return self._server_stats.service_time_s(owner.server)
 
     def _expected_left_s(self, state: OwnerState, age_s: float) -> float:
         left_s = sorted(each - age_s for each in self._lengths(state) if each > age_s)
--- a/indigoworks/gateway/placement_queue.py
+++ b/indigoworks/gateway/placement_queue.py
@@ -5,7 +5,7 @@
 from indigoworks.common.fair_queue import FairQueue
 from indigoworks.gateway.waiting_request import WaitingRequest
 
-JUDGED_PER_CHANGE = 16
+REVIEWS_PER_CHANGE = 16
 """Waiting requests that each change pays to look at again, so that work per change is bounded."""
 
 
@@ -41,12 +41,12 @@
             queue = self._queues[entry.priority] = FairQueue()
             self._queues = dict(sorted(self._queues.items()))
         queue.push(entry)
-        entry.line = self
+        entry.queue = self
 
     def remove(self, entry: WaitingRequest) -> None:
         """Take out a request that waits no longer."""
         self._queues[entry.priority].remove(entry)
-        entry.line = None
+        entry.queue = None
 
     def head(self) -> WaitingRequest | None:
         """Return the request whose turn it is."""
@@ -59,7 +59,7 @@
         """Charge a request that has got a place with the slot seconds expected of it."""
         self._queues[entry.priority].grant(entry, cost_s)
 
-    def give_back(self, entry: WaitingRequest, cost_s: float) -> None:
+    def settle(self, entry: WaitingRequest, cost_s: float) -> None:
         """Charge a request that has left its place with what it took in fact."""
         self._queues[entry.priority].give_back(entry, cost_s)
 
@@ -77,13 +77,13 @@
             before += len(queue)
         return before
 
-    def is_due(self) -> bool:
+    def is_review_due(self) -> bool:
         """Count a change; tell whether all that waits is to be judged again.
 
         Short lines are judged after each change, long ones after as many as pay for it.
         """
         self._changes += 1
-        if self._changes * JUDGED_PER_CHANGE < len(self):
+        if self._changes * REVIEWS_PER_CHANGE < len(self):
             return False
         self._changes = 0
         return True
--- a/indigoworks/gateway/placement_queues.py
+++ b/indigoworks/gateway/placement_queues.py
@@ -11,51 +11,51 @@
     """A line for each service, one for each owner of keys, and the requests without an owner."""
 
     def __init__(self) -> None:
-        self._lines: dict[tuple[str, str | None], PlacementQueue] = {}
+        self._queues: dict[tuple[str, str | None], PlacementQueue] = {}
         self._ownerless: dict[str, dict[WaitingRequest, None]] = {}
 
-    def file(self, entry: WaitingRequest, owner: ServerRecord | None) -> None:
+    def add(self, entry: WaitingRequest, owner: ServerRecord | None) -> None:
         """Put a request into the line of its key's owner or of its service."""
         if entry.key is not None and owner is None:
             self._ownerless.setdefault(entry.service, {})[entry] = None
             return
         name = (entry.service, None if owner is None else owner.server_id)
-        line = self._lines.get(name)
+        line = self._queues.get(name)
         if line is None:
-            line = self._lines[name] = PlacementQueue(*name)
+            line = self._queues[name] = PlacementQueue(*name)
         line.push(entry)
 
-    def take_out(self, entry: WaitingRequest) -> None:
+    def remove(self, entry: WaitingRequest) -> None:
         """Take out a request that waits no longer."""
-        line = entry.line
+        line = entry.queue
         if line is None:
             del self._ownerless[entry.service][entry]
             return
         line.remove(entry)
-        self.forget_idle(line)
+        self.drop_if_idle(line)
 
-    def put_last(self, entry: WaitingRequest) -> None:
+    def move_to_end(self, entry: WaitingRequest) -> None:
         """Let a request without an owner be looked at after all others of its service."""
         ownerless = self._ownerless.get(entry.service, {})
         if entry in ownerless:
             ownerless[entry] = ownerless.pop(entry)
 
-    def forget_idle(self, line: PlacementQueue) -> None:
+    def drop_if_idle(self, line: PlacementQueue) -> None:
         """Forget a line in which nothing waits, and of which nothing is at work."""
         if line.is_idle():
-            self._lines.pop((line.service, line.server_id), None)
+            self._queues.pop((line.service, line.server_id), None)
 
     def is_empty(self) -> bool:
         """Tell whether nothing waits, and nothing that was placed is at work."""
-        return not self._lines and not any(self._ownerless.values())
+        return not self._queues and not any(self._ownerless.values())
 
     def all(self) -> list[PlacementQueue]:
         """Return all lines."""
-        return list(self._lines.values())
+        return list(self._queues.values())
 
     def of_service(self, service: str) -> list[PlacementQueue]:
         """Return the lines of a service."""
-        return [each for each in self._lines.values() if each.service == service]
+        return [each for each in self._queues.values() if each.service == service]
 
     def all_ownerless(self) -> list[WaitingRequest]:
         """Return the requests without an owner."""
--- a/indigoworks/gateway/placer.py
+++ b/indigoworks/gateway/placer.py
@@ -4,7 +4,7 @@
 
 from indigoworks.gateway.refusal import Refusal
 from indigoworks.gateway.server_response import ServerResponse
-from indigoworks.gateway.server_stats import Measurement
+from indigoworks.gateway.server_stats import RequestStart
 from indigoworks.gateway.waiting_request import WaitingRequest
 from indigoworks.servers.server_record import ServerRecord
 
@@ -23,7 +23,7 @@
         ...
 
     def release(
-        self, entry: WaitingRequest, started: Measurement, answer: ServerResponse | None
+        self, entry: WaitingRequest, started: RequestStart, answer: ServerResponse | None
     ) -> None:
         """Take back the place of a request, which it has had since `started`.
 
--- a/indigoworks/gateway/platform_subsystem.py
+++ b/indigoworks/gateway/platform_subsystem.py
@@ -113,13 +113,13 @@
         )
         ports.health.eras.on_new(self._begin_era)
 
-    def use_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Go by what of `settings` can change in a running process."""
         self.servers.set_heartbeat(settings.server_heartbeat_s)
         self._drain_s = settings.drain_s
         self._configuration_apply_s = settings.configuration_apply_s
 
-    def on_path_failed(self, listener: Callable[[], None]) -> None:
+    def on_store_path_failed(self, listener: Callable[[], None]) -> None:
         """Call `listener` after each failure of the feed that probes the path to the store."""
         self._path_listeners.append(listener)
 
@@ -128,7 +128,7 @@
         self._listeners.append(listener)
 
     @property
-    def is_known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Tell whether configuration and servers have been read."""
         return self._has_read_servers and self.configurations.current() is not None
 
@@ -142,7 +142,7 @@
         """Return the version up to which all rows of the operator are known here."""
         return self.followers[0].version
 
-    def tidy(self) -> None:
+    def end_stale_evacuations(self) -> None:
         """End what was kept through a new era of the store and was not written again."""
         self.servers.evacuations.end_kept(self._written_zones)
 
--- a/indigoworks/gateway/queue_refusals.py
+++ b/indigoworks/gateway/queue_refusals.py
@@ -49,7 +49,7 @@
     )
 
 
-def for_broker(server_id: str) -> Refusal:
+def paced_by_broker(server_id: str) -> Refusal:
     """Refuse a request that only the broker of its server may let go there.
 
     :param server_id: the owner of its key; empty: any server may have run it.
@@ -82,5 +82,5 @@
         max(MIN_RETRY_AFTER_S, wait_s),
         server_id,
         load.in_flight,
-        wait_s + load.least_s,
+        wait_s + load.min_service_time_s,
     )
--- a/indigoworks/gateway/queue_timers.py
+++ b/indigoworks/gateway/queue_timers.py
@@ -13,10 +13,10 @@
     """
 
     def __init__(self, look: Callable[[PlacementQueue], None]) -> None:
-        self._look = look
+        self._on_due = look
         self._timers: dict[PlacementQueue, asyncio.TimerHandle] = {}
 
-    def look_in(self, line: PlacementQueue, after_s: float) -> None:
+    def schedule(self, line: PlacementQueue, after_s: float) -> None:
         """Look at a line in `after_s` seconds, unless that comes earlier in any case."""
         loop = asyncio.get_running_loop()
         known = self._timers.get(line)
@@ -28,4 +28,4 @@
 
     def _run(self, line: PlacementQueue) -> None:
         del self._timers[line]
-        self._look(line)
+        self._on_due(line)
--- a/indigoworks/gateway/reachability_monitor.py
+++ b/indigoworks/gateway/reachability_monitor.py
@@ -10,10 +10,10 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
-MIN_PATIENCE_S = 0.3
+MIN_SILENCE_S = 0.3
 """A server is not checked before it has been silent for so long."""
 
-PATIENCE_FACTOR = 4.0
+SILENCE_FACTOR = 4.0
 """Nor before so many times the measured time of a request."""
 
 CONNECT_TIMEOUT_S = 0.25
@@ -33,51 +33,51 @@
 
     def __init__(
         self,
-        board: ServerStats,
+        server_stats: ServerStats,
         servers: ServerSource,
         clock: Clock,
         open_connection: OpenConnection = ServerConnection,
     ) -> None:
         self._open_connection = open_connection
-        self._board = board
+        self._server_stats = server_stats
         self._servers = servers
         self._clock = clock
         self._checks: dict[str, asyncio.Task[bool]] = {}
         self._reached_s: dict[str, float] = {}
         self._watches: dict[str, asyncio.Task[None]] = {}
 
-    def patience_s(self, server: ServerRecord) -> float:
+    def check_after_s(self, server: ServerRecord) -> float:
         """Return the silence after which a server is checked, in seconds."""
-        return max(MIN_PATIENCE_S, PATIENCE_FACTOR * self._board.service_s(server))
+        return max(MIN_SILENCE_S, SILENCE_FACTOR * self._server_stats.service_time_s(server))
 
-    def suspect(self, server: ServerRecord) -> None:
+    def report_connect_failure(self, server: ServerRecord) -> None:
         """Check a server to which no connection came about."""
-        if not self._board.is_down(server.server_id):
+        if not self._server_stats.is_down(server.server_id):
             self._set_down(server)
 
-    async def is_reached_since(self, server: ServerRecord, since_s: float) -> bool:
+    async def has_responded_since(self, server: ServerRecord, since_s: float) -> bool:
         """Tell whether a server has answered or taken a connection after `since_s`, or does now.
 
         What it did before says nothing: this is asked of a server that may just have ended.
         """
-        while not self._board.is_down(server.server_id):
-            if self._last_sign_s(server) >= since_s:
+        while not self._server_stats.is_down(server.server_id):
+            if self._last_contact_s(server) >= since_s:
                 return True
             await self._check_now(server)
         return False
 
-    async def check(self, server: ServerRecord) -> bool:
+    async def is_reachable(self, server: ServerRecord) -> bool:
         """Tell whether a server that has been silent can be reached."""
-        if self._clock.now() - self._last_sign_s(server) < FRESH_S:
+        if self._clock.now() - self._last_contact_s(server) < FRESH_S:
             return True
-        if self._board.is_down(server.server_id):
+        if self._server_stats.is_down(server.server_id):
             return False
         return await self._check_now(server)
 
-    def _last_sign_s(self, server: ServerRecord) -> float:
+    def _last_contact_s(self, server: ServerRecord) -> float:
         """Return when a server last answered or took a connection."""
         return max(
-            self._board.last_answer_s(server.server_id),
+            self._server_stats.last_response_s(server.server_id),
             self._reached_s.get(server.server_id, float("-inf")),
         )
 
@@ -110,7 +110,7 @@
         return is_connected
 
     def _set_down(self, server: ServerRecord) -> None:
-        self._board.set_down(server.server_id, True)
+        self._server_stats.set_down(server.server_id, True)
         log_message(
             message_type="server:out_of_reach",
             level="WARNING",
@@ -127,10 +127,10 @@
         while self._servers.get(server.server_id) is not None:
             await self._clock.sleep(CHECK_PAUSE_S)
             if await self._can_connect(server):
-                self._board.set_down(server.server_id, False)
+                self._server_stats.set_down(server.server_id, False)
                 self._reached_s[server.server_id] = self._clock.now()
                 log_message(
                     message_type="server:in_reach", server=server.server_id, service=server.service
                 )
                 return
-        self._board.set_down(server.server_id, False)
+        self._server_stats.set_down(server.server_id, False)
--- a/indigoworks/gateway/request_log.py
+++ b/indigoworks/gateway/request_log.py
@@ -26,9 +26,9 @@
     """
 
     def __init__(
-        self, board: ServerStats, metrics: RequestMetrics, rates: LineRates, clock: Clock
+        self, server_stats: ServerStats, metrics: RequestMetrics, rates: LineRates, clock: Clock
     ) -> None:
-        self._board = board
+        self._server_stats = server_stats
         self._metrics = metrics
         self._rates = rates
         self._clock = clock
@@ -79,9 +79,9 @@
         elapsed_s = self._clock.now() - started_s
         self._metrics.attempted(state.service.name, answer.result.value, elapsed_s)
 
-    def repeated(self, state: RequestState, answer: ServerResponse, is_granted: bool) -> None:
+    def retried(self, state: RequestState, answer: ServerResponse, is_granted: bool) -> None:
         """An attempt did not serve the request; the budget allows a repeat, or does not."""
-        self._metrics.repeated(state.service.name, is_granted)
+        self._metrics.retried(state.service.name, is_granted)
         self._write(
             "request:repeat" if is_granted else "request:no_repeat",
             True,
@@ -140,5 +140,8 @@
             elapsed_s=round(self._elapsed_s(state.request), 4),
             waited_s=round(state.waited_s, 4),
             left_s=round(state.deadline_s - self._clock.now(), 4),
-            **{"in_flight": None if server is None else self._board.in_flight(server), **fields},
+            **{
+                "in_flight": None if server is None else self._server_stats.in_flight(server),
+                **fields,
+            },
         )
--- a/indigoworks/gateway/request_metrics.py
+++ b/indigoworks/gateway/request_metrics.py
@@ -10,7 +10,7 @@
         self._ended = metrics.counter(
             "gateway_requests", "Requests by outcome", "service", "outcome", "reason"
         )
-        self._repeats = metrics.counter(
+        self._retries = metrics.counter(
             "gateway_repeats", "Repeats by permission", "service", "permission"
         )
         self._request_s = metrics.histogram(
@@ -29,6 +29,6 @@
         """Count an attempt at a server that ended."""
         self._attempt_s.add(elapsed_s, service, result)
 
-    def repeated(self, service: str, is_granted: bool) -> None:
+    def retried(self, service: str, is_granted: bool) -> None:
         """Count a repeat that the budget granted or denied."""
-        self._repeats.add(service, "granted" if is_granted else "denied")
+        self._retries.add(service, "granted" if is_granted else "denied")
--- a/indigoworks/gateway/request_pipeline.py
+++ b/indigoworks/gateway/request_pipeline.py
@@ -27,7 +27,7 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.server_source import ServerSource
 
-LATE_FACTOR = 0.9
+AIM_FACTOR = 0.9
 """Requests are taken on while their answer is expected within this multiple of the aim."""
 
 LATE_RANK = 1000
@@ -45,15 +45,15 @@
         placer: Placer,
         owners: OwnerLookup,
         sender: RequestSender,
-        board: ServerStats,
+        server_stats: ServerStats,
         servers: ServerSource,
-        watch: ReachabilityMonitor,
-        harm: CrashAttribution,
+        reachability: ReachabilityMonitor,
+        crash_attribution: CrashAttribution,
         gate: AttemptGate,
-        allowance: LocalRetryBudget,
-        repeats: RetryPolicy,
+        retry_budget: LocalRetryBudget,
+        retry_policy: RetryPolicy,
         sampler: KeySampler,
-        answers: GatewayResponses,
+        responses: GatewayResponses,
         log: RequestLog,
         clock: Clock,
     ) -> None:
@@ -61,15 +61,15 @@
         self._placer = placer
         self._owners = owners
         self._sender = sender
-        self._board = board
+        self._server_stats = server_stats
         self._servers = servers
-        self._watch = watch
-        self._harm = harm
+        self._reachability = reachability
+        self._crash_attribution = crash_attribution
         self._gate = gate
-        self._allowance = allowance
-        self._repeats = repeats
+        self._retry_budget = retry_budget
+        self._retry_policy = retry_policy
         self._sampler = sampler
-        self._answers = answers
+        self._responses = responses
         self._log = log
         self._clock = clock
 
@@ -98,11 +98,11 @@
             return unrouted
         if not self._gate.is_suspect(state.request):
             return await self._send_placed(state, is_locked=False)
-        aim_s = state.request.arrived_s + state.route.aim_s * LATE_FACTOR
+        aim_s = state.request.arrived_s + state.route.aim_s * AIM_FACTOR
         lock = await self._gate.lock(state, min(aim_s, state.deadline_s))
         if isinstance(lock, Refusal):
             return self._give_up(state, lock)
-        ended_before = state.servers_ended
+        ended_before = state.servers_crashed
         try:
             return await self._send_placed(state, is_locked=True)
         finally:
@@ -113,22 +113,22 @@
 
         :param is_locked: no other try of the request is under way, if it is a suspect.
         """
-        placement = await self._place_harmless(state)
+        placement = await self._place_unless_quarantined(state)
         if isinstance(placement, Refusal):
             return self._give_up(state, placement)
         is_new_suspect = not is_locked and self._gate.is_suspect(state.request)
         if is_new_suspect or not self._routing.is_current(state):
             # While it waited a newer configuration came into force that leads elsewhere, or a
             # server ended under another try of it.
-            self._give_back(state, placement)
+            self._return_placement(state, placement)
             return None
         # It keeps its place; its time and its limits are those in force.
         self._route_again(state)
         answer = await self._send(state, placement)
         if answer.result is ExchangeResult.ANSWERED and not answer.is_not_run:
             self._log.answered(state, answer)
-            return self._answers.from_server(state.request, answer)
-        if not await self._repeats.may_repeat(state, answer):
+            return self._responses.from_server(state.request, answer)
+        if not await self._retry_policy.may_retry(state, answer):
             return self._unserved(state, placement, answer)
         return None
 
@@ -146,40 +146,40 @@
 
     def _count(self, state: RequestState) -> None:
         """Count a request for its service, and for its key."""
-        self._allowance.add_request(state.service.name)
+        self._retry_budget.record_request(state.service.name)
         if state.service.is_keyed and state.request.key is not None:
             self._sampler.add(state.service.name, state.request.key)
 
-    def _give_back(self, state: RequestState, server: ServerRecord) -> None:
+    def _return_placement(self, state: RequestState, server: ServerRecord) -> None:
         """Give up the place at a server that a request has got and does not use."""
-        started = self._board.start(server)
-        self._board.finish(server, started, False)
+        started = self._server_stats.start(server)
+        self._server_stats.finish(server, started, False)
         if state.waiting is not None:
             self._placer.release(state.waiting, started, None)
 
-    async def _place_harmless(self, state: RequestState) -> ServerRecord | Refusal:
+    async def _place_unless_quarantined(self, state: RequestState) -> ServerRecord | Refusal:
         """Find a place, unless servers ended under the request before or while it waited."""
-        refusal = self._harm.refusal(state.request)
+        refusal = self._crash_attribution.refusal(state.request)
         if refusal is not None:
             return refusal
         placement = await self._place(state)
         if isinstance(placement, Refusal):
             return placement
-        refusal = self._harm.refusal(state.request)
+        refusal = self._crash_attribution.refusal(state.request)
         if refusal is None:
             return placement
-        self._give_back(state, placement)
+        self._return_placement(state, placement)
         return refusal
 
     async def _place(self, state: RequestState) -> ServerRecord | Refusal:
         now_s = self._clock.now()
         if now_s >= state.deadline_s:
             return Refusal(RefusalReason.NO_TIME, 0.0)
-        limit_s = state.first_try_s + state.route.aim_s * LATE_FACTOR
+        limit_s = state.first_attempt_s + state.route.aim_s * AIM_FACTOR
         priority = state.route.priority
-        if limit_s < now_s + self._board.service_s_of(state.service.name):
+        if limit_s < now_s + self._server_stats.mean_service_time_s(state.service.name):
             # It can only be late: it takes what those leave who can be in time.
-            limit_s = state.request.arrived_s + state.route.aim_s * LATE_FACTOR
+            limit_s = state.request.arrived_s + state.route.aim_s * AIM_FACTOR
             priority += LATE_RANK
         try:
             state.waiting = WaitingRequest(
@@ -199,27 +199,27 @@
 
     async def _send(self, state: RequestState, server: ServerRecord) -> ServerResponse:
         state.tried.append(server.server_id)
-        started = self._board.start(server)
+        started = self._server_stats.start(server)
         is_served = False
         answer: ServerResponse | None = None
         try:
-            self._harm.note_sending(state)
+            self._crash_attribution.record_send(state)
             answer = await self._exchange(state, server)
             self._log.attempted(state, answer, started.at_s)
-            self._harm.note(state, server, answer)
+            self._crash_attribution.record_response(state, server, answer)
             is_served = answer.result is ExchangeResult.ANSWERED and not answer.is_not_run
             state.is_served = is_served
             if answer.word is not None:
-                self._board.note_word(server.server_id, answer.word)
+                self._server_stats.record_server_load(server.server_id, answer.word)
             if answer.result is ExchangeResult.ANSWERED:
-                self._note_answerer(state, server, answer)
+                self._record_responder(state, server, answer)
             return answer
         finally:
-            self._board.finish(server, started, is_served)
+            self._server_stats.finish(server, started, is_served)
             if state.waiting is not None:
                 self._placer.release(state.waiting, started, answer)
 
-    def _note_answerer(
+    def _record_responder(
         self, state: RequestState, server: ServerRecord, answer: ServerResponse
     ) -> None:
         """Take what an answer says of who answers and what it holds.
@@ -232,27 +232,27 @@
             sign = ReplacementEvidence.REQUEST
             self._servers.record_replaced(server.server_id, by_server_id or "", sign)
             return
-        self._board.note_answer(server.server_id)
+        self._server_stats.record_response(server.server_id)
         if (
             answer.status == MISDIRECTED
             and state.service.is_keyed
             and state.request.key is not None
         ):
-            self._owners.note_not_held(state.service.name, state.request.key, server.server_id)
+            self._owners.record_not_held(state.service.name, state.request.key, server.server_id)
 
     async def _exchange(self, state: RequestState, server: ServerRecord) -> ServerResponse:
         """Send; a repeatable request leaves a server that turns out to be out of reach."""
         sending = asyncio.ensure_future(self._sender.send(state.request, server, state.deadline_s))
         try:
             while True:
-                patience_s = self._watch.patience_s(server)
+                patience_s = self._reachability.check_after_s(server)
                 done, _ = await asyncio.wait({sending}, timeout=patience_s)
                 if done:
                     answer = sending.result()
                     if answer.result is ExchangeResult.NOT_SENT:
-                        self._watch.suspect(server)
+                        self._reachability.report_connect_failure(server)
                     return answer
-                is_reachable = await self._watch.check(server)
+                is_reachable = await self._reachability.is_reachable(server)
                 if not is_reachable and state.route.is_repeatable and not sending.done():
                     return ServerResponse(ExchangeResult.LOST, detail="out_of_reach")
         finally:
@@ -262,11 +262,11 @@
         if state.may_have_run:
             return self._lost(state, f"then {refusal.reason.value}")
         self._log.refused(state.request, state, refusal)
-        return self._answers.refused(state.request, refusal)
+        return self._responses.refused(state.request, refusal)
 
     def _lost(self, state: RequestState, detail: str) -> ClientResponse:
         self._log.lost(state, detail)
-        return self._answers.lost(state.request)
+        return self._responses.lost(state.request)
 
     def _unserved(
         self, state: RequestState, server: ServerRecord, answer: ServerResponse
@@ -274,11 +274,11 @@
         if state.may_have_run:
             self._log.lost(state, answer.detail)
             if answer.result is ExchangeResult.SILENT:
-                return self._answers.timed_out(state.request)
-            return self._answers.lost(state.request)
+                return self._responses.timed_out(state.request)
+            return self._responses.lost(state.request)
         refusal = self._refusal_of(state, server, answer)
         self._log.refused(state.request, state, refusal)
-        return self._answers.refused(state.request, refusal)
+        return self._responses.refused(state.request, refusal)
 
     def _refusal_of(
         self, state: RequestState, server: ServerRecord, answer: ServerResponse
@@ -293,4 +293,4 @@
             return queue_refusals.limited(server.server_id, 1 / limit_per_s)
         is_answered = answer.result is ExchangeResult.ANSWERED
         reason = RefusalReason.SERVER_REFUSED if is_answered else RefusalReason.NOT_SENT
-        return Refusal(reason, self._board.service_s_of(state.service.name))
+        return Refusal(reason, self._server_stats.mean_service_time_s(state.service.name))
--- a/indigoworks/gateway/request_routing.py
+++ b/indigoworks/gateway/request_routing.py
@@ -73,7 +73,7 @@
         routed = self._with_service(state.request, configuration, route, chosen, 0.0)
         if not isinstance(routed, RequestState):
             return routed
-        state.follow(routed)
+        state.adopt_route(routed)
         return None
 
     def _with_service(
--- a/indigoworks/gateway/request_sender.py
+++ b/indigoworks/gateway/request_sender.py
@@ -80,7 +80,7 @@
         self._read_word = read_word
         self._clock = clock
         self._pools: dict[str, ConnectionPool] = {}
-        self.opened = 0
+        self.connections_opened = 0
         self.held_back = 0
 
     async def send(
@@ -88,10 +88,10 @@
     ) -> ServerResponse:
         """Send `request` and wait for the answer until `deadline_s` on the clock."""
         pool = self._pool(server)
-        connection = pool.take()
+        connection = pool.acquire()
         if connection is None:
-            connection = pool.new()
-            self.opened += 1
+            connection = pool.create()
+            self.connections_opened += 1
             left_s = deadline_s - self._clock.now()
             if left_s <= 0 or not await connection.connect(min(left_s, CONNECT_TIMEOUT_S)):
                 return ServerResponse(ExchangeResult.NOT_SENT, detail="connect")
@@ -105,7 +105,7 @@
         if answer is None:
             return ServerResponse(ExchangeResult.SILENT, detail="deadline")
         if answer.result is ExchangeResult.ANSWERED:
-            pool.give_back(connection, answer.keep_alive_s)
+            pool.release(connection, answer.keep_alive_s)
         return answer
 
     def forget(self, server_id: str) -> None:
@@ -114,10 +114,10 @@
         if pool is not None:
             pool.close()
 
-    def drop_old(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that rested too long."""
         for pool in self._pools.values():
-            pool.drop_old()
+            pool.close_expired()
 
     def known_servers(self) -> list[str]:
         """Return the servers that have connections."""
--- a/indigoworks/gateway/request_state.py
+++ b/indigoworks/gateway/request_state.py
@@ -36,7 +36,7 @@
         service: Service,
         configuration_version: int,
         share: Share | None = None,
-        first_try_age_s: float = 0.0,
+        first_attempt_age_s: float = 0.0,
     ) -> None:
         self.request = request
         self.route = route
@@ -44,32 +44,32 @@
         self.configuration_version = configuration_version
         self.share = share or Share(route.host)
         self.deadline_s = _deadline_s(request, route)
-        self.first_try_s = request.arrived_s - first_try_age_s
+        self.first_attempt_s = request.arrived_s - first_attempt_age_s
         self.tried: list[str] = []
         self.waited_s = 0.0
         self.may_have_run = False
         self.waiting: WaitingRequest | None = None
-        self.misdirected = 0
-        self.servers_ended = 0
-        self.known_end_slots: tuple[int, ...] = ()
+        self.misdirected_count = 0
+        self.servers_crashed = 0
+        self.known_crash_windows: tuple[int, ...] = ()
         self.doubts: frozenset[int] = frozenset()
-        self.doubted_slot = NO_WINDOW
+        self.doubt_window = NO_WINDOW
         self.is_served = False
-        self.judgement: asyncio.Task[None] | None = None
-        self._not_sent = 0
+        self.verdict: asyncio.Task[None] | None = None
+        self._unsent = 0
 
-    def follow(self, routed: "RequestState") -> None:
+    def adopt_route(self, rerouted: "RequestState") -> None:
         """Take the route, service and time of the same request as it is routed now."""
-        self.route = routed.route
-        self.service = routed.service
-        self.configuration_version = routed.configuration_version
-        self.share = routed.share
-        self.deadline_s = routed.deadline_s
+        self.route = rerouted.route
+        self.service = rerouted.service
+        self.configuration_version = rerouted.configuration_version
+        self.share = rerouted.share
+        self.deadline_s = rerouted.deadline_s
 
-    def count_not_sent(self) -> int:
+    def count_unsent(self) -> int:
         """Count an attempt that reached no server; returns how many there were."""
-        self._not_sent += 1
-        return self._not_sent
+        self._unsent += 1
+        return self._unsent
 
 
 def _deadline_s(request: ClientRequest, route: Route) -> float:
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -73,10 +73,12 @@
         open_connection: OpenConnection = ServerConnection,
         open_datagrams: OpenDatagrams = DatagramEndpoint,
     ) -> None:
-        self.board = ServerStats(peers, clock)
+        self.server_stats = ServerStats(peers, clock)
         self.sampler = KeySampler()
         self._servers = platform.servers
-        self._watch = ReachabilityMonitor(self.board, platform.servers, clock, open_connection)
+        self._reachability = ReachabilityMonitor(
+            self.server_stats, platform.servers, clock, open_connection
+        )
         self.sender = RequestSender(
             ports.names, clock, ports.read_server_word, open_connection, ports.read_server_notice
         )
@@ -84,19 +86,28 @@
         self.sender.is_held_back = platform.servers.is_held_back
         self.notices = NoticeReports(settings.node, platform.servers)
         self.on_notice: Callable[[], None] = _nothing
-        platform.servers.notices.rests.on_change = self._take_wish
-        platform.servers.notices.on_leaving = self._take_wish
+        platform.servers.notices.rests.on_change = self._on_server_notice
+        platform.servers.notices.on_leaving = self._on_server_notice
         limits = platform.servers.notices.limits
-        limits.on_change = self._take_wish
+        limits.on_change = self._on_server_notice
         self.sender.is_limit_known = limits.is_known
         self.sender.on_no_limit = platform.servers.record_no_limit
-        rates = ServerRateLimiter(platform.servers.cold, limits, platform.is_keyed, clock)
-        self.choice = ServerSelector(
-            platform.servers, self.board, rates, settings.zone, random, directory.has_many
+        rate_limiter = ServerRateLimiter(platform.servers.cold, limits, platform.is_keyed, clock)
+        self.selector = ServerSelector(
+            platform.servers,
+            self.server_stats,
+            rate_limiter,
+            settings.zone,
+            random,
+            directory.has_many,
         )
-        owners = OwnerLookup(tables, platform.servers, self.board, clock)
+        owners = OwnerLookup(tables, platform.servers, self.server_stats, clock)
         self.queue = DispatchQueue(
-            self.choice, owners, self.board, CapacityTracker(self.board, rates), clock
+            self.selector,
+            owners,
+            self.server_stats,
+            CapacityTracker(self.server_stats, rate_limiter),
+            clock,
         )
         self.doubts = DoubtTable(clock, random)
         self._cuts = PartitionMonitor(directory, peers, clock)
@@ -106,7 +117,7 @@
             tables,
             peers,
             directory,
-            self.board,
+            self.server_stats,
             clock,
             random,
             self.doubts,
@@ -121,10 +132,10 @@
             platform.servers,
             owners,
             directory,
-            rates,
+            rate_limiter,
             clock,
         )
-        self.allowance = LocalRetryBudget(
+        self.retry_budget = LocalRetryBudget(
             settings.retry_ratio,
             settings.retry_window_s,
             settings.retry_slack,
@@ -132,8 +143,8 @@
             directory,
             clock,
         )
-        answers = GatewayResponses(ports.names)
-        log = RequestLog(self.board, RequestMetrics(metrics), line_rates, clock)
+        responses = GatewayResponses(ports.names)
+        log = RequestLog(self.server_stats, RequestMetrics(metrics), line_rates, clock)
         self.quarantine = Quarantine(clock, ports.health.to_store_s)
         group = ControlGroup(ports.health.eras)
         self._stored_locks = StoredLocks(own.boot, ports.store, group, ports.health, clock)
@@ -150,22 +161,22 @@
         self.quarantine.on_status_change = self._quarantine_rows.schedule_write
         self.quarantine.on_refusal = self._quarantine_rows.handle_refusal
         self.quarantine.on_crash = self._quarantine_rows.handle_crash
-        self._harm = CrashAttribution(
-            self.quarantine, self.doubts, self._watch, platform.servers, clock
+        self._crash_attribution = CrashAttribution(
+            self.quarantine, self.doubts, self._reachability, platform.servers, clock
         )
         self.doubts.on_last_lifted = self._open_lock
-        refusals = ConfigurationRefusals(platform.configurations, answers, log, clock)
+        refusals = ConfigurationRefusals(platform.configurations, responses, log, clock)
         flow = RequestPipeline(
             RequestRouting(platform.configurations, refusals, clock),
             placer,
             owners,
             self.sender,
-            self.board,
+            self.server_stats,
             platform.servers,
-            self._watch,
-            self._harm,
+            self._reachability,
+            self._crash_attribution,
             AttemptGate(
-                self._harm,
+                self._crash_attribution,
                 GroupLocks(
                     BrokeredLocks(self.brokers.selector, self.brokers.client, clock),
                     self._stored_locks,
@@ -173,10 +184,10 @@
                 ),
                 clock,
             ),
-            self.allowance,
-            RetryPolicy(self._harm, self.allowance, log, clock),
+            self.retry_budget,
+            RetryPolicy(self._crash_attribution, self.retry_budget, log, clock),
             self.sampler,
-            answers,
+            responses,
             log,
             clock,
         )
@@ -196,7 +207,7 @@
         self.queue.capacity_changed()
         self.brokers.broker.servers_changed()
 
-    def _take_wish(self) -> None:
+    def _on_server_notice(self) -> None:
         """A server asked for rest, or leaves: what waits for it looks elsewhere."""
         self.servers_changed()
         self.on_notice()
@@ -205,36 +216,36 @@
         """Write to the store which requests are refused, until cancelled."""
         await self._quarantine_rows.run()
 
-    def take_rows(self, rows: Sequence[Row]) -> None:
+    def apply_rows(self, rows: Sequence[Row]) -> None:
         """Take rows of the group, which the directory has taken already."""
         self._cuts.apply_rows(rows)
         self._quarantine_rows.apply_rows(rows)
         self._stored_locks.apply_rows(rows)
 
-    def use_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Go by what of `settings` can change in a running process."""
-        self.allowance.set_budget(
+        self.retry_budget.set_budget(
             settings.retry_ratio, settings.retry_window_s, settings.retry_slack
         )
 
-    def tidy(self) -> None:
+    def drop_expired(self) -> None:
         """Close connections that rested too long, and forget servers that left."""
-        self.front.close_rested()
+        self.front.close_idle()
         self.quarantine.remove_expired()
-        self.sender.drop_old()
+        self.sender.close_expired()
         self._servers.forget_old()
         self._servers.notices.rests.drop_ended()
         self._servers.notices.limits.drop_ended()
         for server_id in self.sender.known_servers():
             if self._servers.get(server_id) is None:
                 self.sender.forget(server_id)
-                self.board.forget(server_id)
+                self.server_stats.forget(server_id)
 
     def close(self) -> None:
         """End all checks of servers."""
-        self._harm.close()
+        self._crash_attribution.close()
         self._stored_locks.close()
-        self._watch.close()
+        self._reachability.close()
 
 
 def _nothing() -> None:
--- a/indigoworks/gateway/retry_policy.py
+++ b/indigoworks/gateway/retry_policy.py
@@ -24,44 +24,48 @@
     """
 
     def __init__(
-        self, harm: CrashAttribution, allowance: LocalRetryBudget, log: RequestLog, clock: Clock
+        self,
+        crash_attribution: CrashAttribution,
+        retry_budget: LocalRetryBudget,
+        log: RequestLog,
+        clock: Clock,
     ) -> None:
-        self._harm = harm
-        self._allowance = allowance
+        self._crash_attribution = crash_attribution
+        self._retry_budget = retry_budget
         self._log = log
         self._clock = clock
 
-    async def may_repeat(self, state: RequestState, answer: ServerResponse) -> bool:
+    async def may_retry(self, state: RequestState, answer: ServerResponse) -> bool:
         """Tell whether to send a request again after an attempt; the repeat is then paid for."""
         state.may_have_run |= answer.may_have_run
         if self._clock.now() >= state.deadline_s:
             return False
         if answer.may_have_run and not state.route.is_repeatable:
             return False
-        if answer.may_have_run and not await self._harm.may_repeat(state):
+        if answer.may_have_run and not await self._crash_attribution.may_retry(state):
             return False
         if state.service.is_keyed:
-            return await self._may_repeat_keyed(state, answer)
+            return await self._may_retry_keyed(state, answer)
         if answer.was_sent and len(set(state.tried)) >= state.route.max_attempts:
             return False
-        return self._take_repeat(state, answer)
+        return self._consume_retry(state, answer)
 
-    async def _may_repeat_keyed(self, state: RequestState, answer: ServerResponse) -> bool:
+    async def _may_retry_keyed(self, state: RequestState, answer: ServerResponse) -> bool:
         """The owner is the only server for a key: repeats go where the key is now."""
         if answer.is_not_run and answer.status != MISDIRECTED:
             return False
-        state.misdirected += 1
-        if state.misdirected > MAX_MISDIRECTED:
+        state.misdirected_count += 1
+        if state.misdirected_count > MAX_MISDIRECTED:
             return False
-        if not self._take_repeat(state, answer):
+        if not self._consume_retry(state, answer):
             return False
-        await self._clock.sleep(MISDIRECTED_PAUSE_S * state.misdirected)
+        await self._clock.sleep(MISDIRECTED_PAUSE_S * state.misdirected_count)
         return True
 
-    def _take_repeat(self, state: RequestState, answer: ServerResponse) -> bool:
+    def _consume_retry(self, state: RequestState, answer: ServerResponse) -> bool:
         if not answer.was_sent:
             # Nothing arrived anywhere: this is no repeat at any server.
-            return state.count_not_sent() <= MAX_NOT_SENT
-        is_granted = self._allowance.take(state.service.name)
-        self._log.repeated(state, answer, is_granted)
+            return state.count_unsent() <= MAX_NOT_SENT
+        is_granted = self._retry_budget.try_consume(state.service.name)
+        self._log.retried(state, answer, is_granted)
         return is_granted
--- a/indigoworks/gateway/retry_schedule.py
+++ b/indigoworks/gateway/retry_schedule.py
@@ -5,16 +5,16 @@
 
 from indigoworks.common.clock import Clock
 
-BOOKED_SHARE = 0.5
+SCHEDULED_SHARE = 0.5
 """Share of a rate that is promised in a short line: those who come for the first time have the
 rest, and whoever comes at its turn waits for nobody."""
 
-SHORT_LINE_S = 5.0
-LONG_LINE_SHARE = 0.9
+SHORT_SCHEDULE_S = 5.0
+LONG_SCHEDULED_SHARE = 0.9
 """The same for turns further ahead than SHORT_LINE_S: who waits for so long goes before those who
 come for the first time."""
 
-MAX_TURNS = 1000
+MAX_SCHEDULED_RETRIES = 1000
 """Turns of a line that are promised. Each takes about 200 bytes."""
 
 EARLY_S = 0.05
@@ -22,7 +22,7 @@
 """A turn is kept free for a caller that comes so much too early, or so late: its way and its clock
 are its own. After that others may take it."""
 
-FORGOTTEN_S = 2.0
+EXPIRY_S = 2.0
 """Who comes so late still goes first, as far as there is room: its turn has gone to nobody where
 the next one was promised as well."""
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Turn:
+class _ScheduledRetry:
     caller_mark: int
     at_s: float
 
@@ -63,10 +63,10 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._turns: dict[QueueName, deque[_Turn]] = {}
+        self._retries: dict[QueueName, deque[_ScheduledRetry]] = {}
         self._trust = self._used_share = 1.0
 
-    def book(
+    def schedule(
         self, name: QueueName, caller_mark: int, rate_per_s: float, earliest_s: float
     ) -> float:
         """Promise a turn; returns the time until then.
@@ -82,13 +82,13 @@
         at_s = now_s + earliest_s
         if turns:
             ahead_s = turns[-1].at_s - now_s
-            share = BOOKED_SHARE if ahead_s < SHORT_LINE_S else LONG_LINE_SHARE
+            share = SCHEDULED_SHARE if ahead_s < SHORT_SCHEDULE_S else LONG_SCHEDULED_SHARE
             pause_s = max(self._used_share, MIN_USED_SHARE) / (share * rate_per_s)
             at_s = max(at_s, turns[-1].at_s + pause_s)
-        if len(turns) >= MAX_TURNS:
-            return at_s - now_s + _spread(caller_mark) * MAX_TURNS / rate_per_s
-        turns.append(_Turn(caller_mark, at_s))
-        self._turns[name] = turns
+        if len(turns) >= MAX_SCHEDULED_RETRIES:
+            return at_s - now_s + _spread(caller_mark) * MAX_SCHEDULED_RETRIES / rate_per_s
+        turns.append(_ScheduledRetry(caller_mark, at_s))
+        self._retries[name] = turns
         return at_s - now_s
 
     def is_due(self, name: QueueName, caller_mark: int) -> bool:
@@ -99,23 +99,23 @@
         """Tell whether it is the turn of a caller, which it uses up by that."""
         turn = self._due(name, caller_mark)
         if turn is not None:
-            self._turns[name].remove(turn)
-            self._note_promise(is_used=True)
+            self._retries[name].remove(turn)
+            self._record_outcome(is_used=True)
         return turn is not None
 
-    def drop(self, name: QueueName, caller_mark: int) -> None:
+    def cancel(self, name: QueueName, caller_mark: int) -> None:
         """Take back the turn of a caller that is served before it."""
-        turns = self._current(name) if self._turns else ()
+        turns = self._current(name) if self._retries else ()
         for turn in [each for each in turns if each.caller_mark == caller_mark]:
-            self._turns[name].remove(turn)
+            self._retries[name].remove(turn)
 
-    def kept_for_s(self, name: QueueName, pause_s: float) -> float:
+    def reserved_for_s(self, name: QueueName, pause_s: float) -> float:
         """Return for how long the next turn of a line is kept for who was promised it; 0: it is
         free.
 
         :param pause_s: time from one turn to the next.
         """
-        if not self._turns:
+        if not self._retries:
             return 0.0
         now_s = self._clock.now()
         next_s = next(
@@ -125,25 +125,25 @@
             return 0.0
         return 0.0 if next_s > now_s + pause_s - READY_S else next_s + LATE_S - now_s
 
-    def line_s(self, name: QueueName) -> float:
+    def length_s(self, name: QueueName) -> float:
         """Return the time until the last turn that is promised; 0: there is none."""
-        turns = self._current(name) if self._turns else ()
+        turns = self._current(name) if self._retries else ()
         return max(0.0, turns[-1].at_s - self._clock.now()) if turns else 0.0
 
     def count_within(self, name: QueueName, duration_s: float) -> int:
         """Return the turns that are promised within a time from now."""
-        if not self._turns:
+        if not self._retries:
             return 0
         now_s = self._clock.now()
         turns = self._current(name)
         return sum(now_s - LATE_S <= each.at_s <= now_s + duration_s for each in turns)
 
-    def _note_promise(self, is_used: bool) -> None:
+    def _record_outcome(self, is_used: bool) -> None:
         self._trust += TRUST_STEP * (is_used - self._trust)
         self._used_share += USED_STEP * (is_used - self._used_share)
 
-    def _due(self, name: QueueName, caller_mark: int) -> _Turn | None:
-        if not self._turns:
+    def _due(self, name: QueueName, caller_mark: int) -> _ScheduledRetry | None:
+        if not self._retries:
             return None
         due_s = self._clock.now() + EARLY_S
         for turn in self._current(name):
@@ -151,17 +151,17 @@
                 return turn
         return None
 
-    def _current(self, name: QueueName) -> deque[_Turn]:
+    def _current(self, name: QueueName) -> deque[_ScheduledRetry]:
         """Return the turns of a line that are not over."""
-        turns = self._turns.get(name)
+        turns = self._retries.get(name)
         if turns is None:
             return deque()
-        earliest_s = self._clock.now() - FORGOTTEN_S
+        earliest_s = self._clock.now() - EXPIRY_S
         while turns and turns[0].at_s < earliest_s:
             turns.popleft()
-            self._note_promise(is_used=False)
+            self._record_outcome(is_used=False)
         if not turns:
-            del self._turns[name]
+            del self._retries[name]
         return turns
 
 
--- a/indigoworks/gateway/server_paces.py
+++ b/indigoworks/gateway/server_paces.py
@@ -26,7 +26,7 @@
         self._clock = clock
         self._paces: dict[str, _Pace] = {}
 
-    def note(self, server_id: str, pace: float) -> None:
+    def record(self, server_id: str, pace: float) -> None:
         """Take a server's word; 1: as usual, 2: work takes twice as long."""
         known = self._paces.get(server_id)
         mean = pace if known is None else known.mean + SMOOTHING * (pace - known.mean)
--- a/indigoworks/gateway/server_rate_limiter.py
+++ b/indigoworks/gateway/server_rate_limiter.py
@@ -11,7 +11,7 @@
 """Requests that may go at once after a pause: callers come by chance, and with one at a time every
 second of a pair would wait. Two brokers with two each stay within the users' slack of five."""
 
-PARTS = 2
+MAX_BROKERS = 2
 """So many brokers may spend a whole rate each: two, whose lists of members differ."""
 
 ROUNDING_S = 1e-6
@@ -56,44 +56,44 @@
 
     # ---- questions ----
 
-    def has_bound(self) -> bool:
+    def has_rate_limits(self) -> bool:
         """Tell whether any server may be bound to a rate: a quick look."""
         return self._limits.has_any() or self._cold.has_any()
 
-    def is_bound(self, server: ServerRecord) -> bool:
+    def is_limited(self, server: ServerRecord) -> bool:
         """Tell whether the server may get requests at its rate only."""
         return self._rate_per_s(server) is not None
 
-    def excludes(self, server: ServerRecord) -> bool:
+    def is_paced_elsewhere(self, server: ServerRecord) -> bool:
         """Tell whether a server is bound, and paced by another process."""
-        return self.is_bound(server) and server.zone != self._zone
+        return self.is_limited(server) and server.zone != self._zone
 
-    def excludes_any(self, servers: Iterable[ServerRecord]) -> bool:
+    def any_paced_elsewhere(self, servers: Iterable[ServerRecord]) -> bool:
         """Tell whether another process paces any of these servers."""
-        return self.has_bound() and any(map(self.excludes, servers))
+        return self.has_rate_limits() and any(map(self.is_paced_elsewhere, servers))
 
-    def may_send(self, server: ServerRecord) -> bool:
+    def has_permit(self, server: ServerRecord) -> bool:
         """Tell whether a request may go to the server now, as far as its rate goes."""
-        return not self.excludes(server) and self.turn_in_s(server) <= 0
+        return not self.is_paced_elsewhere(server) and self.permit_in_s(server) <= 0
 
-    def turn_in_s(self, server: ServerRecord) -> float:
+    def permit_in_s(self, server: ServerRecord) -> float:
         """Return the time until the next request may go to a server; 0: now."""
         rate_per_s = self._rate_per_s(server)
         if rate_per_s is None:
             return 0.0
         pause_s = 1 / rate_per_s
         # The turn of a request is a pause for each of the BURST earlier ones after the first.
-        turn_s = self._next_turn_s(server, pause_s) - (self._burst() - 1) * pause_s
+        turn_s = self._next_permit_s(server, pause_s) - (self._burst() - 1) * pause_s
         left_s = turn_s - self._clock.now()
         return left_s if left_s > ROUNDING_S else 0.0
 
-    def common_rate_per_s(self, servers: Sequence[ServerRecord]) -> float | None:
+    def total_rate_per_s(self, servers: Sequence[ServerRecord]) -> float | None:
         """Return the sum of the rates of servers that are all bound; None: one is not."""
         rates_per_s = [self._rate_per_s(each) for each in servers]
         bound = [each for each in rates_per_s if each is not None]
         return sum(bound) if len(bound) == len(servers) else None
 
-    def slots_of(self, server: ServerRecord, service_s: float) -> float:
+    def effective_slots(self, server: ServerRecord, service_s: float) -> float:
         """Return how many requests, each of which takes `service_s`, the server works on at a time
         as far as its rate goes."""
         rate_per_s = self._rate_per_s(server)
@@ -101,14 +101,14 @@
 
     # ---- changes ----
 
-    def spend(self, server: ServerRecord) -> None:
+    def consume_permit(self, server: ServerRecord) -> None:
         """Count a request that is about to go to a server."""
         rate_per_s = self._rate_per_s(server)
         if rate_per_s is None:
             self._next_s.pop(server.server_id, None)
             return
         pause_s = 1 / rate_per_s
-        from_s = max(self._next_turn_s(server, pause_s), self._clock.now())
+        from_s = max(self._next_permit_s(server, pause_s), self._clock.now())
         self._next_s[server.server_id] = from_s + pause_s
 
     def forget(self, server_id: str) -> None:
@@ -119,18 +119,18 @@
 
     def _rate_per_s(self, server: ServerRecord) -> float | None:
         """Return the requests a second that go to a server; None: it is not bound."""
-        rate_per_s = self._whole_rate_per_s(server)
+        rate_per_s = self._group_rate_per_s(server)
         return None if rate_per_s is None else rate_per_s * self._spent_share()
 
     def _spent_share(self) -> float:
         """Return the share of a rate that this process spends as broker."""
-        return min(1.0, PARTS * self._heard_share())
+        return min(1.0, MAX_BROKERS * self._heard_share())
 
     def _burst(self) -> int:
         """Return how many requests may go at once; each part of a group has bursts of its own."""
         return BURST if self._spent_share() == 1.0 else 1
 
-    def _whole_rate_per_s(self, server: ServerRecord) -> float | None:
+    def _group_rate_per_s(self, server: ServerRecord) -> float | None:
         limits = self._limits
         limit_per_s = limits.passed_per_s(server.server_id) if limits.has_any() else None
         cold_per_s = self._cold_per_s(server) if self._cold.has_any() else None
@@ -145,7 +145,7 @@
         assert limit is not None
         return PASSED_SHARE * limit.requests_per_s
 
-    def _next_turn_s(self, server: ServerRecord, pause_s: float) -> float:
+    def _next_permit_s(self, server: ServerRecord, pause_s: float) -> float:
         """Return when a request may go after which none has gone for a while.
 
         A server that is new here may have had requests of another broker: it begins with one. After
--- a/indigoworks/gateway/server_selector.py
+++ b/indigoworks/gateway/server_selector.py
@@ -26,15 +26,15 @@
     def __init__(
         self,
         servers: ServerSource,
-        board: ServerStats,
-        rate_budget: ServerRateLimiter,
+        server_stats: ServerStats,
+        rate_limiter: ServerRateLimiter,
         zone: str,
         random: Random,
         is_large_group: Callable[[], bool] = lambda: False,
     ) -> None:
         self._servers = servers
-        self._board = board
-        self._rates = rate_budget
+        self._server_stats = server_stats
+        self._rate_limiter = rate_limiter
         self._zone = zone
         self._random = random
         self._is_large_group = is_large_group
@@ -45,7 +45,7 @@
         usable = list(self._servers.usable(service))
         if self._servers.has_resting():
             usable = self._without_resting(usable)
-        if not self._board.has_down() and not self._rates.has_bound():
+        if not self._server_stats.has_down() and not self._rate_limiter.has_rate_limits():
             return usable
         return [each for each in usable if self._is_usable(each)]
 
@@ -59,7 +59,7 @@
 
     def has_paced_elsewhere(self, service: str) -> bool:
         """Tell whether only brokers let requests go to some server of the service."""
-        return self._rates.excludes_any(self._servers.usable(service))
+        return self._rate_limiter.any_paced_elsewhere(self._servers.usable(service))
 
     def _without_resting(self, usable: list[ServerRecord]) -> list[ServerRecord]:
         """Return those that have not asked this process for rest, nor several others if any other
@@ -69,11 +69,11 @@
         return [each for each in awake if not spared(each.server_id)] or awake
 
     def _is_usable(self, server: ServerRecord) -> bool:
-        if self._board.is_down(server.server_id):
+        if self._server_stats.is_down(server.server_id):
             return False
-        return not self._rates.excludes(server)
+        return not self._rate_limiter.is_paced_elsewhere(server)
 
-    def best(self, servers: list[ServerRecord]) -> ServerRecord:
+    def select(self, servers: list[ServerRecord]) -> ServerRecord:
         """Return the server with the least expected time, or one drawn among those with a free
         slot; `servers` is not empty."""
         if self._is_large_group():
@@ -94,15 +94,15 @@
 
     def _weight(self, server: ServerRecord) -> float:
         """Return requests a second that the server's free slots can take on."""
-        return self._free_slots(server) / self._board.service_s(server)
+        return self._free_slots(server) / self._server_stats.service_time_s(server)
 
     def _free_slots(self, server: ServerRecord) -> int:
-        return max(0, server.slots - self._board.in_flight(server.server_id))
+        return max(0, server.slots - self._server_stats.in_flight(server.server_id))
 
     def _cost(self, server: ServerRecord) -> tuple[float, float]:
-        in_flight = self._board.in_flight(server.server_id)
+        in_flight = self._server_stats.in_flight(server.server_id)
         waiting = max(0, in_flight + 1 - server.slots)
-        service_s = self._board.service_s(server)
+        service_s = self._server_stats.service_time_s(server)
         expected_s = service_s * (1 + waiting / server.slots)
         if server.zone != self._zone:
             expected_s *= OTHER_ZONE_FACTOR
--- a/indigoworks/gateway/server_stats.py
+++ b/indigoworks/gateway/server_stats.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measurement:
+class RequestStart:
     """Start of a request; `rounds`: how many requests one slot had to work on in turn by then."""
 
     at_s: float
@@ -47,13 +47,13 @@
 
     # ---- changes ----
 
-    def start(self, server: ServerRecord) -> Measurement:
+    def start(self, server: ServerRecord) -> RequestStart:
         """Note that a request goes out; returns what to finish it by."""
         self._in_flight[server.server_id] = self._in_flight.get(server.server_id, 0) + 1
         rounds = max(1.0, self.in_flight(server.server_id) / server.slots)
-        return Measurement(self._clock.now(), rounds)
+        return RequestStart(self._clock.now(), rounds)
 
-    def finish(self, server: ServerRecord, started: Measurement, is_served: bool) -> None:
+    def finish(self, server: ServerRecord, started: RequestStart, is_served: bool) -> None:
         """Note that a request ended; `is_served`: the server worked on it and answered."""
         count = self._in_flight.get(server.server_id, 1) - 1
         if count:
@@ -68,11 +68,11 @@
         self._average(self._service_s, server.server_id, measured_s)
         self._average(self._by_service_s, server.service, measured_s)
 
-    def note_word(self, server_id: str, word: SelfReportedLoad) -> None:
+    def record_server_load(self, server_id: str, word: SelfReportedLoad) -> None:
         """Take what a server said of its load."""
-        self._paces.note(server_id, word.pace)
+        self._paces.record(server_id, word.pace)
 
-    def note_answer(self, server_id: str) -> None:
+    def record_response(self, server_id: str) -> None:
         """Note a sign of life of a server."""
         self._last_answer_s[server_id] = self._clock.now()
 
@@ -116,11 +116,11 @@
         """Return the servers of which times were measured."""
         return list(self._service_s)
 
-    def last_answer_s(self, server_id: str) -> float:
+    def last_response_s(self, server_id: str) -> float:
         """Return when the server last answered; minus infinity: never."""
         return self._last_answer_s.get(server_id, float("-inf"))
 
-    def service_s(self, server: ServerRecord) -> float:
+    def service_time_s(self, server: ServerRecord) -> float:
         """Return the seconds that one request takes at a server."""
         known = self._measured_s(server.server_id)
         if known is None:
@@ -129,11 +129,11 @@
                 known *= COLD_FACTOR
         return known * self._paces.factor(server.server_id)
 
-    def service_s_by_id(self, server_id: str) -> float:
+    def service_time_by_id_s(self, server_id: str) -> float:
         """Return the seconds that one request takes at a server, as all gateways measured it."""
         return self._measured_s(server_id) or DEFAULT_SERVICE_S
 
-    def service_s_of(self, service: str) -> float:
+    def mean_service_time_s(self, service: str) -> float:
         """Return the seconds that one request takes at a service, over all its servers."""
         return self._by_service_s.get(service, DEFAULT_SERVICE_S)
 
--- a/indigoworks/gateway/settings_checks.py
+++ b/indigoworks/gateway/settings_checks.py
@@ -20,7 +20,7 @@
     highest: float
     is_open: bool = False
 
-    def holds(self, value: object) -> bool:
+    def contains(self, value: object) -> bool:
         """Tell whether `value` is a number of the range, or its text."""
         if isinstance(value, bool) or not isinstance(value, int | float | str):
             return False
@@ -68,7 +68,7 @@
     """A field that cannot be used: what it says (None: it is missing), and what it may say."""
 
     field: str
-    said: object
+    value: object
     expected: str
 
 
@@ -87,13 +87,13 @@
         if not _is_address(document[field]):
             return InvalidField(field, document[field], f"HOST:PORT with a port up to {MAX_PORT}")
     for field, numbers in NUMBERS.items():
-        if field in document and not numbers.holds(document[field]):
+        if field in document and not numbers.contains(document[field]):
             return InvalidField(field, document[field], str(numbers))
     return None
 
 
 def _is_port(value: object) -> bool:
-    return PORTS.holds(value) and str(value).isdecimal()
+    return PORTS.contains(value) and str(value).isdecimal()
 
 
 def _is_address(value: object) -> bool:
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -155,7 +155,7 @@
         counts: Counter[Labels] = Counter(
             {(each.service,): 0 for each in self._platform.servers.listed()}
         )
-        for server_id, count in self._requests.board.own_in_flight().items():
+        for server_id, count in self._requests.server_stats.own_in_flight().items():
             record = self._platform.servers.get(server_id)
             counts[("" if record is None else record.service,)] += count
         return counts
@@ -171,11 +171,11 @@
         values: dict[Labels, float] = {}
         for service, count in known.items():
             values[service, "known"] = count
-            values[service, "usable"] = len(self._requests.choice.usable(service))
+            values[service, "usable"] = len(self._requests.selector.usable(service))
         return values
 
     def _repeat_budget(self) -> Values:
-        allowance = self._requests.allowance
+        allowance = self._requests.retry_budget
         values: dict[Labels, float] = {}
         for service in allowance.services():
             values[service, "used"] = allowance.used(service)
@@ -183,7 +183,7 @@
         return values
 
     def _connections_opened(self) -> Values:
-        return {NO_LABELS: self._requests.sender.opened}
+        return {NO_LABELS: self._requests.sender.connections_opened}
 
     # ---- control ----
 
--- a/indigoworks/gateway/status_subsystem.py
+++ b/indigoworks/gateway/status_subsystem.py
@@ -57,7 +57,7 @@
         self._status.start()
 
     async def _answer_readiness(self, request: HTTPServerRequest) -> ClientResponse:
-        is_known = self._platform.is_known and self._control.leadership.has_read
+        is_known = self._platform.is_loaded and self._control.leadership.has_read
         is_ready = is_known and not self.is_stopping
         if request.path != self._ports.readiness_path:
             return ClientResponse(404, (), b"")
--- a/indigoworks/gateway/waiting_request.py
+++ b/indigoworks/gateway/waiting_request.py
@@ -13,7 +13,7 @@
     from indigoworks.gateway.placement_queue import PlacementQueue
 
 
-TURN_RANK = -1
+SCHEDULED_RETRY_RANK = -1
 """Rank of a request that comes at the turn which its caller was promised: it waits for nobody."""
 
 
@@ -41,22 +41,22 @@
     deadline_s: float = float("inf")
     content: ClientRequest | None = None
     caller_mark: int = 0
-    has_turn: bool = False
-    placed: asyncio.Future[ServerRecord | Refusal] = field(
+    is_scheduled_retry: bool = False
+    placement: asyncio.Future[ServerRecord | Refusal] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    line: "PlacementQueue | None" = None
+    queue: "PlacementQueue | None" = None
 
-    def put_first(self) -> None:
+    def mark_scheduled_retry(self) -> None:
         """Take note that it comes at the turn which its caller was promised."""
-        self.has_turn = True
-        self.priority = TURN_RANK
+        self.is_scheduled_retry = True
+        self.priority = SCHEDULED_RETRY_RANK
 
-    def renew(self) -> None:
+    def reset_placement(self) -> None:
         """Let a request that was refused be placed anew."""
-        self.placed = asyncio.get_running_loop().create_future()
+        self.placement = asyncio.get_running_loop().create_future()
 
     @property
     def owner_id(self) -> str:
         """Return the server that it waits for; empty: any of its service, or an owner to come."""
-        return "" if self.line is None else self.line.server_id or ""
+        return "" if self.queue is None else self.queue.server_id or ""
--- a/indigoworks_lab/control_simulation/simulated_node.py
+++ b/indigoworks_lab/control_simulation/simulated_node.py
@@ -100,11 +100,11 @@
             ReportSource(
                 self._make_report,
                 self._has_news,
-                self.control.take_report,
+                self.control.apply_report,
                 lambda: self.control.leadership.row.node,
             ),
         )
-        self.control.use_board(self._board)
+        self.control.use_server_stats(self._board)
         self.control.send_report_now = self._exchange.send_soon
 
     def start(self) -> None:
--- a/indigoworks_lab/crash_simulation/callers.py
+++ b/indigoworks_lab/crash_simulation/callers.py
@@ -48,7 +48,7 @@
             arrived_s=now_s,
             caller=caller,
         )
-        answer = await chosen.side.front.answer(request)
+        answer = await chosen.side.front.respond(request)
         retry_after = dict(answer.headers).get("Retry-After")
         got = CallerAnswer(
             sent_s=now_s,
--- a/indigoworks_lab/crash_simulation/crash_gateway.py
+++ b/indigoworks_lab/crash_simulation/crash_gateway.py
@@ -105,7 +105,7 @@
     def take_rows(self, rows: Sequence[Row]) -> None:
         """Take rows of the group."""
         self.directory.apply(rows)
-        self.side.take_rows(rows)
+        self.side.apply_rows(rows)
 
     async def run(self) -> None:
         """Exchange reports until the process ends."""
@@ -115,7 +115,7 @@
 
     def _has_news(self) -> bool:
         has_notes = self.side.quarantine.has_unreported() or self.side.notices.has_any()
-        return bool(self.side.board.loads()) or has_notes
+        return bool(self.side.server_stats.loads()) or has_notes
 
     def _make_report(self) -> PeerReport:
         self._sequence += 1
@@ -126,14 +126,14 @@
             epoch=0,
             beat_age_s=float("inf"),
             leader=None,
-            loads=self.side.board.loads(),
+            loads=self.side.server_stats.loads(),
             samples=(),
             retry_count=0,
             suspects=self.side.quarantine.next_report(),
-            notices=self.side.notices.notes(),
+            notices=self.side.notices.next_notes(),
         )
 
     def _take(self, report: PeerReport) -> None:
         self.side.quarantine.merge_suspects(report.suspects)
-        self.side.notices.take(report.notices)
+        self.side.notices.apply(report.notices)
         self.side.queue.capacity_changed()
