--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -92,11 +92,11 @@
                 break
             outcome = await self._use_slot(entry, request)
             sheds += 1
-            if not self._may_queue_again(outcome, sheds):
+            if not self._may_requeue(outcome, sheds):
                 return outcome
         return Err(refusal)
 
-    def _may_queue_again(self, outcome: DispatchResult, sheds: int) -> bool:
+    def _may_requeue(self, outcome: DispatchResult, sheds: int) -> bool:
         is_shed = isinstance(outcome, Err) and isinstance(outcome.unwrap_err(), ServerShedding)
         return is_shed and sheds < SHED_LIMIT
 
@@ -110,10 +110,10 @@
             return None
         wait_s = self._estimated_wait_s(entry)
         if self._queue.length_of(entry.group) >= limits.max_queue_length:
-            return refusals.queue_full(entry.group, self.server.name, self._spread(wait_s))
+            return refusals.queue_full(entry.group, self.server.name, self._jittered(wait_s))
         spare_s = request.deadline_s - self._ports.clock.now() - self._service_time.service_s()
         if wait_s > min(spare_s, limits.max_queue_delay_s):
-            return refusals.wait_too_long(self.server.name, self._spread(wait_s))
+            return refusals.wait_too_long(self.server.name, self._jittered(wait_s))
         return None
 
     def _estimated_wait_s(self, entry: QueueEntry) -> float:
@@ -146,7 +146,7 @@
                 return None
             self._queue.remove(entry)
             wait_s = self._estimated_wait_s(entry)
-            return refusals.wait_too_long(self.server.name, self._spread(wait_s))
+            return refusals.wait_too_long(self.server.name, self._jittered(wait_s))
         except asyncio.CancelledError:
             if entry.has_slot:
                 self._release_slot(entry, 0.0)
@@ -253,14 +253,14 @@
 
     def _failure(self, error: BackendError) -> RouterError:
         if isinstance(error, BackendUnreachable):
-            return refusals.owner_unreachable(self.server.name, self._spread(0.0))
+            return refusals.owner_unreachable(self.server.name, self._jittered(0.0))
         return refusals.answer_lost(error.message)
 
     def _shed_by_server(self, response: BackendResponse) -> ServerShedding:
         pause_s = min(MAX_SHED_PAUSE_S, max(MIN_SHED_PAUSE_S, response.retry_after_s))
         self._paused_until_s = max(self._paused_until_s, self._ports.clock.now() + pause_s)
         wait_s = max(response.retry_after_s, self._service_time.service_s())
-        return refusals.server_shedding(self.server.name, self._spread(wait_s))
+        return refusals.server_shedding(self.server.name, self._jittered(wait_s))
 
-    def _spread(self, wait_s: float) -> float:
-        return refusals.spread_retry_after_s(wait_s, self._ports.random)
+    def _jittered(self, wait_s: float) -> float:
+        return refusals.jittered_retry_after_s(wait_s, self._ports.random)
--- a/indigoworks/router/dispatcher_pool.py
+++ b/indigoworks/router/dispatcher_pool.py
@@ -53,7 +53,7 @@
         return view.settings.resolve(owned.service, owned.group, owned.key)
 
     def _group(self, request: DispatchRequest, view: RoutingView) -> str:
-        """Groups that are not in the settings share one queue: a made-up name gains nothing."""
+        """Groups that are not in the settings share one queue, so inventing names gains nothing."""
         group = request.owned.group
         return group if group in view.groups else DEFAULT_GROUP
 
--- a/indigoworks/router/request_path.py
+++ b/indigoworks/router/request_path.py
@@ -196,7 +196,7 @@
         )
 
     def _no_owner(self, request: RoutedRequest) -> RouterError:
-        retry_after_s = refusals.spread_retry_after_s(refusals.REASSIGNMENT_S, self._random)
+        retry_after_s = refusals.jittered_retry_after_s(refusals.REASSIGNMENT_S, self._random)
         return refusals.no_owner(request.caller.service, retry_after_s)
 
     def _remaining_s(self, request: RoutedRequest) -> float:
