--- a/indigoworks/gateway/active_settings.py
+++ b/indigoworks/gateway/active_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a running process goes by."""
+"""The settings of a running process, and their reload."""
 
 from collections.abc import Callable
 from dataclasses import fields, replace
@@ -19,18 +19,18 @@
         "retry_slack",
     }
 )
-"""Fields that a running process takes on; the others need a restart."""
+"""Fields that a reload applies to a running process; the others need a restart."""
 
 LoadSettings = Callable[[], Result[GatewaySettings, SettingsUnreadable]]
 Listener = Callable[[GatewaySettings], None]
 
 
 class ActiveSettings:
-    """Holds the settings as one immutable object, and replaces it as a whole.
+    """Holds the settings as one immutable object, which a reload replaces as a whole.
 
     Fields that need a restart keep the values with which the process started.
 
-    :param load: reads and checks the settings anew.
+    :param load: reads and validates the settings file.
     """
 
     def __init__(self, settings: GatewaySettings, load: LoadSettings) -> None:
@@ -40,15 +40,15 @@
 
     @property
     def current(self) -> GatewaySettings:
-        """Return what is in force."""
+        """Return the current settings."""
         return self._current
 
     def on_change(self, listener: Listener) -> None:
-        """Call `listener` after each change."""
+        """Call `listener` with the new settings after each change."""
         self._listeners.append(listener)
 
     def reload(self) -> None:
-        """Read the settings again; those that cannot be used leave the last ones in force."""
+        """Reload the settings; invalid ones leave the previous settings in force."""
         result = self._load()
         if isinstance(result, Err):
             error = result.unwrap_err()
--- a/indigoworks/gateway/admission_control.py
+++ b/indigoworks/gateway/admission_control.py
@@ -1,4 +1,4 @@
-"""Whether a waiting request is expected to be answered in time."""
+"""Decides whether a waiting request is likely to be answered in time."""
 
 from dataclasses import dataclass, replace
 
@@ -16,12 +16,12 @@
 from indigoworks.servers.server_record import ServerRecord
 
 LoadCache = dict[frozenset[str], CandidateLoad]
-"""Loads of the servers of one line, by the servers that are left out: many requests of a line look
-at the same ones."""
+"""Loads of the servers of one queue, by the servers that are excluded. Shared while a queue is
+reviewed: many of its requests have the same candidates."""
 
 LOAD_CACHE_S = 0.02
-"""The load of all servers of a service is counted anew so often. With 20 servers and a queue, which
-stays as it is for so long, counting for each request took half of a broker's time."""
+"""Time for which the load of all servers of a service is cached. With 20 servers and a queue,
+computing it for each request took half of a broker's CPU time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,10 @@
 
 
 class AdmissionControl:
-    """Expects by the requests in flight, those that go before, and the measured time of one."""
+    """Refuses requests that are expected to be answered too late.
+
+    Estimates from the requests in flight, those ahead in the queue, and measured service times.
+    """
 
     def __init__(
         self,
@@ -52,11 +55,11 @@
         self._retry_schedule = RetrySchedule(clock)
 
     def invalidate_loads(self) -> None:
-        """Count all loads anew: the servers are others, or may not be used now."""
+        """Drop cached loads: the servers or their usability changed."""
         self._cached_loads.clear()
 
     def ready_owner(self, entry: WaitingRequest) -> ServerRecord | None:
-        """Return the server that a request by key may go to now."""
+        """Return the owner of the request's key if it can serve the request now, else None."""
         if entry.key is None:
             return None
         owner = self._owners.find(entry.service, entry.key)
@@ -65,9 +68,9 @@
     def refusal_if_late(
         self, entry: WaitingRequest, ahead: int, loads: LoadCache
     ) -> Refusal | None:
-        """Return a refusal of a request before which `ahead` others go, if that is too long for it.
+        """Return a refusal if a request with `ahead` others before it would be answered too late.
 
-        :param loads: what is known of its line already; is added to.
+        :param loads: loads computed so far for the same queue; extended by this call.
         """
         load = loads.get(entry.tried) or self._load(entry)
         if load is None:
@@ -79,11 +82,11 @@
         return self._overload(entry, load, ahead)
 
     def refusal_without_owner(self, entry: WaitingRequest) -> Refusal | None:
-        """Return a refusal where the key is not likely to be served again in time; None: it is."""
+        """Return a refusal if the key is unlikely to have a ready owner in time, else None."""
         return self._owner_outages.refusal_if_late(entry)
 
     def timeout_refusal(self, entry: WaitingRequest) -> Refusal:
-        """Return why a request whose time is up gets no place."""
+        """Return the refusal of a request that waited up to its time limit."""
         servers = self._servers(entry)
         if entry.key is not None and (entry.queue is None or not servers):
             return self._owner_outages.refusal(entry)
@@ -95,34 +98,34 @@
         return self._overload(entry, load, ahead)
 
     def claim_scheduled_retry(self, entry: WaitingRequest) -> bool:
-        """Tell whether a request comes at a turn that its caller was promised."""
+        """Return whether a request is a due scheduled retry; a due one is used up by this."""
         owner = self.ready_owner(entry)
         name = (entry.service, None if owner is None else owner.server_id)
         return entry.caller_mark != 0 and self._retry_schedule.claim(name, entry.caller_mark)
 
     def cancel_scheduled_retry(self, entry: WaitingRequest) -> None:
-        """Take note that a request has got a place: its caller needs no later turn."""
+        """Cancel the scheduled retry of a caller whose request has been placed."""
         if entry.caller_mark:
             self._retry_schedule.cancel((entry.service, entry.owner_id or None), entry.caller_mark)
 
     def is_retry_due(self, service: str, caller_mark: int) -> bool:
-        """Tell whether it is the turn of a caller at servers without keys."""
+        """Return whether the scheduled retry of a caller of an unkeyed service is due."""
         return self._retry_schedule.is_due((service, None), caller_mark)
 
     def reserved_for_s(self, name: QueueName, servers: list[ServerRecord]) -> float:
-        """Return for how long the next turn at the servers of a line is kept for callers who were
-        promised it; 0: it is not, or their rate does not bind them all."""
+        """Return for how long the next permit of the servers of a queue is reserved for a scheduled
+        retry; 0 if it is not, or if some of the servers have no rate limit."""
         rate_per_s = self._capacity.total_rate_per_s(servers)
         if not rate_per_s:
             return 0.0
         return self._retry_schedule.reserved_for_s(name, 1 / rate_per_s)
 
     def schedule_length_s(self, service: str) -> float:
-        """Return the time until the last turn that is promised at servers without keys."""
+        """Return the time until the last scheduled retry of an unkeyed service."""
         return self._retry_schedule.length_s((service, None))
 
     def _scheduled_before(self, entry: WaitingRequest, load: CandidateLoad, ahead: int) -> int:
-        """Return the promised turns that come before that of a request."""
+        """Return the number of scheduled retries that go before a request."""
         if load.rate_per_s is None or entry.is_scheduled_retry:
             return 0
         until_s = load.wait_s(ahead) + 1 / load.rate_per_s
@@ -134,8 +137,10 @@
             return refusal
         name = (entry.service, entry.owner_id or None)
         earliest_s = refusal.retry_after_s
-        turn_s = self._retry_schedule.schedule(name, entry.caller_mark, load.rate_per_s, earliest_s)
-        return replace(refusal, retry_after_s=turn_s)
+        retry_after_s = self._retry_schedule.schedule(
+            name, entry.caller_mark, load.rate_per_s, earliest_s
+        )
+        return replace(refusal, retry_after_s=retry_after_s)
 
     def _refusal_without_server(self, entry: WaitingRequest) -> Refusal:
         if self._selector.has_paced_elsewhere(entry.service):
@@ -144,12 +149,12 @@
         return queue_refusals.resting("", left_s) if left_s else queue_refusals.no_server()
 
     def _load(self, entry: WaitingRequest) -> CandidateLoad | None:
-        """Return the load of the servers that a request may go to; None: there is none."""
+        """Return the load of the servers that a request may go to; None if there is no server."""
         now_s = self._clock.now()
         name = (entry.service, entry.tried)
-        kept = self._cached_loads.get(name) if entry.key is None else None
-        if kept is not None and now_s < kept.until_s:
-            return kept.load
+        cached = self._cached_loads.get(name) if entry.key is None else None
+        if cached is not None and now_s < cached.until_s:
+            return cached.load
         servers = self._servers(entry)
         if not servers:
             return None
--- a/indigoworks/gateway/attempt_gate.py
+++ b/indigoworks/gateway/attempt_gate.py
@@ -1,4 +1,4 @@
-"""Lets tries of suspect requests go to servers one at a time."""
+"""Sends attempts of suspect requests to servers one at a time."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 from indigoworks.gateway.request_state import RequestState
 
 VERDICT_S = 1.5
-"""Longest time from the end of a try to the word on whether its server ended: one that falls silent
-is noticed by a new connection that does not come about."""
+"""Longest time from the end of an attempt until it is known whether its server crashed; a server
+that falls silent is detected by a failed new connection."""
 
 
 class AttemptGate:
-    """Asks for the lock of a request under which a server ended or may have ended, until one of its
-    tries is served or no server turns out to have ended.
+    """Acquires the lock of a suspect request: one under which a server crashed or may have crashed.
 
-    Servers end for other reasons as well: the first try that is served opens the way for all.
+    A request stops being suspect when one of its attempts is served, since servers also crash for
+    other reasons, or when no server turns out to have crashed.
     """
 
     def __init__(
@@ -29,34 +29,35 @@
         self._clock = clock
 
     def is_suspect(self, request: ClientRequest) -> bool:
-        """Tell whether a server ended, or may have ended, under a try of a request since one was
-        served."""
+        """Return whether a server crashed or may have crashed under an attempt of the request
+        since an attempt was last served."""
         return self._crash_attribution.suspect_mark(request) != 0
 
     async def lock(self, state: RequestState, limit_s: float) -> AttemptLock | Refusal | None:
-        """Wait until no other try is under way; returns the lock, why it is not to be had in time,
-        or None where nobody gives it out.
+        """Wait until no other attempt is in flight.
 
-        :param limit_s: clock reading until which its caller may wait for it.
+        :param limit_s: clock reading until which the request may wait for the lock.
+        :returns: the lock, a refusal if it is not available in time, or None if locks cannot be
+            obtained at present.
         """
         mark = self._crash_attribution.suspect_mark(state.request)
         lease_s = state.deadline_s - self._clock.now() + VERDICT_S
         lock = await self._locks.acquire(mark, limit_s, lease_s)
         if lock is None:
-            # A lock is free again once its try is judged; so much holds without one, too.
+            # A lock is released when the verdict on its attempt is known; wait for that here, too.
             await self._crash_attribution.wait_for_verdicts(limit_s)
         return lock
 
-    def unlock(self, state: RequestState, lock: AttemptLock | None, ended_before: int) -> None:
-        """Let the next try go on, once it is known whether a server ended under this one.
+    def unlock(self, state: RequestState, lock: AttemptLock | None, crashed_before: int) -> None:
+        """Release the lock once it is known whether a server crashed under this attempt.
 
-        :param ended_before: servers that had ended under the request before the lock was taken.
+        :param crashed_before: servers that had crashed under the request when it was acquired.
         """
         if lock is None:
             return
 
-        def release(judged: "asyncio.Task[None] | None" = None) -> None:
-            lock.release(state.is_served, lambda: state.servers_crashed > ended_before)
+        def release(verdict: "asyncio.Task[None] | None" = None) -> None:
+            lock.release(state.is_served, lambda: state.servers_crashed > crashed_before)
 
         if state.verdict is None or state.verdict.done():
             release()
--- a/indigoworks/gateway/attempt_locks.py
+++ b/indigoworks/gateway/attempt_locks.py
@@ -1,4 +1,4 @@
-"""What lets one try at a time of a suspect request go to servers."""
+"""Locks that let one attempt at a time of a suspect request go to servers."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,26 +7,26 @@
 
 
 class AttemptLock(Protocol):
-    """The right to send one try of a suspect request."""
+    """The right to send one attempt of a suspect request."""
 
     def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
-        """Give the right back.
+        """Release the lock.
 
-        :param has_ended_server: tells whether a server ended under the try.
+        :param has_ended_server: tells whether a server crashed under the attempt.
         """
         ...
 
 
 class AttemptLocks(Protocol):
-    """One lock for each suspect request, of all gateways together."""
+    """One lock for each suspect request, shared by all gateways."""
 
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
     ) -> AttemptLock | Refusal | None:
-        """Return the lock of a request, why it is not to be had, or None: nobody gives it out.
+        """Return the lock of a request, a refusal, or None if locks cannot be obtained at present.
 
-        :param mark: of the request, whoever sends it.
-        :param limit_s: clock reading until which its caller may wait for it.
-        :param lease_s: seconds after which it is free again in any case.
+        :param mark: fingerprint of the request's content, the same for all callers.
+        :param limit_s: clock reading until which the request may wait for the lock.
+        :param lease_s: seconds after which the lock expires.
         """
         ...
--- a/indigoworks/gateway/call_metrics.py
+++ b/indigoworks/gateway/call_metrics.py
@@ -1,4 +1,4 @@
-"""Calls to others, counted and timed."""
+"""Counter and duration histogram of outgoing calls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,16 +8,16 @@
 from indigoworks.common.metrics import Metrics
 
 CANCELLED = "broken_off"
-"""Outcome of a call that this process gave up: it has no time."""
+"""Outcome of a call that this process cancelled; it has no duration."""
 
 _Answer = TypeVar("_Answer")
 
 
 class CallMetrics:
-    """A counter by kind and outcome, and a histogram by kind.
+    """A counter of calls by kind and outcome, and a histogram of durations by kind.
 
-    :param name: the counter is called `name`s, the histogram `name`_seconds.
-    :param kind: label that tells calls apart.
+    :param name: prefix of the metrics `name`s (counter) and `name`_seconds (histogram).
+    :param kind: label of the kind of call.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
     async def observe(
         self, kind: str, answer: Awaitable[_Answer], outcome_of: Callable[[_Answer], str]
     ) -> _Answer:
-        """Wait for an answer, and count it."""
+        """Await a call, count it and record its duration."""
         started_s = self._clock.now()
         try:
             result = await answer
--- a/indigoworks/gateway/candidate_load.py
+++ b/indigoworks/gateway/candidate_load.py
@@ -1,4 +1,4 @@
-"""Load of the servers that a request may go to."""
+"""Combined load of the servers that a request may go to."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,13 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateLoad:
-    """Slots and requests in flight of all these servers; seconds of one request there.
-
-    :ivar slots: of a server with a rate only what that allows, unless all have one.
-    :ivar service_s: mean over the servers.
-    :ivar least_s: at the fastest of them.
-    :ivar rate_per_s: requests a second that go to all these servers; None: one is not bound.
-    :ivar turn_s: time until the next of these may go, where all are bound.
+    """Slots, requests in flight and service times of a set of servers.
+
+    :ivar slots: slots of the servers; a rate-limited one counts only those that its rate can use,
+        unless all are rate-limited.
+    :ivar mean_service_time_s: seconds per request, mean over the servers.
+    :ivar min_service_time_s: seconds per request at the fastest server.
+    :ivar rate_per_s: sum of the rate limits; None if a server has no rate limit.
+    :ivar permit_in_s: time until the next permit, where all servers are rate-limited.
     """
 
     slots: float
@@ -30,7 +31,7 @@
     def of(
         cls, servers: Sequence[ServerRecord], server_stats: ServerStats, capacity: CapacityTracker
     ) -> "CandidateLoad":
-        """Return the load of `servers`, which are not none."""
+        """Return the load of `servers`, which must not be empty."""
         times_s = [server_stats.service_time_s(each) for each in servers]
         rate_per_s = capacity.total_rate_per_s(servers)
         is_mixed = rate_per_s is None
@@ -46,7 +47,7 @@
         )
 
     def wait_s(self, ahead: int) -> float:
-        """Return how long it takes until `ahead` requests and one more have a place."""
+        """Return the expected wait of a request with `ahead` others queued before it."""
         by_slots_s = (
             max(0, self.in_flight - self.slots + ahead + 1) / self.slots * self.mean_service_time_s
         )
--- a/indigoworks/gateway/capacity_tracker.py
+++ b/indigoworks/gateway/capacity_tracker.py
@@ -1,4 +1,4 @@
-"""Room at servers, and places that are given but do not count there yet."""
+"""Free capacity of servers, including reservations for requests placed but not yet sent."""
 
 from collections.abc import Callable, Sequence
 
@@ -10,18 +10,18 @@
 def in_flight_limit(server: ServerRecord) -> int:
     """Return how many requests a server may have from all gateways together.
 
-    Its slots and a short queue: what it cannot queue a server may leave unanswered for ever.
+    Its slots plus a short queue: a server may never answer a request beyond what it can queue.
     """
     return server.slots + max(1, server.slots // 2)
 
 
 class CapacityTracker:
-    """Tells which servers have room.
+    """Tracks which servers may get one more request.
 
-    A request that has got a place counts at the server only when its own task goes on: until then a
-    reservation keeps the place from being given to everyone who waits.
+    A placed request counts as in flight only when its own task resumes. Until then a reservation
+    keeps the same capacity from being given to every waiting request.
 
-    :param limit: returns how many requests a server may have.
+    :param limit: returns the most requests that a server may have in flight.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._reserved: dict[str, int] = {}
 
     def has_capacity(self, server: ServerRecord) -> bool:
-        """Tell whether the server may get one more request."""
+        """Return whether the server may get one more request."""
         reserved = self._reserved.get(server.server_id, 0)
         if self._server_stats.in_flight(server.server_id) + reserved >= self._limit(server):
             return False
@@ -55,18 +55,18 @@
         return [each for each in with_room if self._rate_limiter.has_permit(each)]
 
     def has_rate_limits(self) -> bool:
-        """Tell whether any server may be bound to a rate: a quick look."""
+        """Return whether any server may have a rate limit (a cheap check)."""
         return self._rate_limiter.has_rate_limits()
 
     def permit_in_s(self, servers: Sequence[ServerRecord]) -> float:
-        """Return the time until one of the servers may get a request as far as its rate goes; 0:
-        one may now."""
+        """Return the time until the rate limit of one of the servers permits a request; 0 if one
+        does now."""
         if not self._rate_limiter.has_rate_limits():
             return 0.0
         return min((self._rate_limiter.permit_in_s(each) for each in servers), default=0.0)
 
     def total_rate_per_s(self, servers: Sequence[ServerRecord]) -> float | None:
-        """Return the requests a second that go to all these servers; None: one is not bound."""
+        """Return the sum of the servers' rate limits; None if one has no limit."""
         return (
             self._rate_limiter.total_rate_per_s(servers)
             if self._rate_limiter.has_rate_limits()
@@ -74,27 +74,27 @@
         )
 
     def is_paced_elsewhere(self, server: ServerRecord) -> bool:
-        """Tell whether only the broker of a server lets requests go there."""
+        """Return whether another process, the server's broker, enforces its rate limit."""
         return self._rate_limiter.has_rate_limits() and self._rate_limiter.is_paced_elsewhere(
             server
         )
 
     def effective_slots(self, server: ServerRecord, service_s: float) -> float:
-        """Return how many requests, each of which takes `service_s`, the server can work on at a
-        time for this gateway."""
+        """Return the concurrency that the server's slots and rate limit allow for requests that
+        take `service_s` each."""
         return self._rate_limiter.effective_slots(server, service_s)
 
     def reserve(self, server: ServerRecord) -> None:
-        """Keep a place at the server."""
+        """Reserve capacity for a placed request, and consume a rate permit."""
         self._reserved[server.server_id] = self._reserved.get(server.server_id, 0) + 1
         self._rate_limiter.consume_permit(server)
 
     def release_reservation(self, server: ServerRecord) -> None:
-        """Give a kept place up: its request counts at the server from now on, or has left."""
+        """Release a reservation: its request now counts as in flight, or was withdrawn."""
         left = self._reserved.pop(server.server_id) - 1
         if left:
             self._reserved[server.server_id] = left
 
     def reserved_count(self) -> int:
-        """Return how many places are kept."""
+        """Return the number of reservations."""
         return sum(self._reserved.values())
--- a/indigoworks/gateway/client_request.py
+++ b/indigoworks/gateway/client_request.py
@@ -1,18 +1,18 @@
-"""A request as a caller sent it."""
+"""A request as the caller sent it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One try of a caller, read whole.
+    """One attempt of a caller, with its complete body.
 
     :ivar target: path and query, as sent.
-    :ivar headers: those that travel on; what concerns one connection only is left out.
-    :ivar wait_s: seconds that the caller will wait; None where it does not say.
-    :ivar key: number of the key; None where the request has none.
-    :ivar arrived_s: clock reading at which it was read.
-    :ivar caller: address of the machine that sent it, without the port.
+    :ivar headers: end-to-end headers; hop-by-hop headers are left out.
+    :ivar wait_s: seconds that the caller will wait for the response; None if not stated.
+    :ivar key: key as a number; None if the request has none.
+    :ivar arrived_s: clock reading when the request had been read.
+    :ivar caller: IP address of the sender.
     """
 
     request_id: str
--- a/indigoworks/gateway/client_response.py
+++ b/indigoworks/gateway/client_response.py
@@ -1,11 +1,11 @@
-"""What a caller gets."""
+"""The final response to a caller."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """Status, headers without those of one connection, whole body."""
+    """Status, end-to-end headers and complete body."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
--- a/indigoworks/gateway/configuration_refusals.py
+++ b/indigoworks/gateway/configuration_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that rest on the configuration in force alone."""
+"""Responses to requests that the configuration in force does not allow."""
 
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.client_request import ClientRequest
@@ -9,16 +9,16 @@
 from indigoworks.routes.configuration_holder import ConfigurationHolder
 
 RETRY_AFTER_S = 0.3
-"""Time to come back after a refusal for a configuration that is not there yet: gateways
-on slow links have a change 0.2 s after the store in the median, 0.8 s at most, and 1.3 s at most of
-changes in quick succession (simulated zone, 2,533 routes)."""
+"""Retry delay of a refusal for a configuration that has not arrived yet. Gateways on slow links
+have a change 0.2 s after the store in the median and 0.8 s at most; 1.3 s at most for changes in
+quick succession (simulated zone, 2,533 routes)."""
 
 
 class ConfigurationRefusals:
-    """Judges what the configuration in force does not allow.
+    """Builds the responses, and logs them.
 
-    Where peers have a newer configuration, it may allow the request: no refusal is final then, and
-    the caller is told when to come back.
+    If peers have a newer configuration, that may allow the request: the caller is then told to
+    retry instead of getting a final error.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._clock = clock
 
     def is_outdated(self) -> bool:
-        """Tell whether a newer configuration than the one in force is known to exist."""
+        """Return whether a newer configuration than the one in force is known to exist."""
         if self._configurations.current() is None:
             return True
         return self._configurations.is_behind(self._clock.now())
@@ -47,24 +47,24 @@
         return self._responses.no_route(request)
 
     def no_key(self, request: ClientRequest, service: str, version: int) -> ClientResponse:
-        """Answer a request without a key for a service that has keys in configuration `version`."""
+        """Answer a request without a key to a service that is keyed in configuration `version`."""
         if self.is_outdated():
             return self.retry_later(request)
         self._log.no_key(request, service, version)
         return self._responses.no_key(request)
 
     def header_too_large(self, request: ClientRequest) -> ClientResponse:
-        """Answer a request whose header is over the limit in force."""
+        """Answer a request whose header exceeds the limit in force."""
         return (
             self.retry_later(request) if self.is_outdated() else self._responses.too_large(request)
         )
 
     def retry_later(self, request: ClientRequest) -> ClientResponse:
-        """Answer that the request may be allowed once the newest configuration is in force."""
+        """Refuse a request that the newest configuration may allow; the caller may retry."""
         return self.refused(request, RefusalReason.CONFIGURATION_BEHIND)
 
     def refused(self, request: ClientRequest, reason: RefusalReason) -> ClientResponse:
-        """Answer that the request has not run and when to come back."""
+        """Answer that the request has not run, and when to retry."""
         refusal = Refusal(reason, RETRY_AFTER_S)
         self._log.refused(request, None, refusal)
         return self._responses.refused(request, refusal)
--- a/indigoworks/gateway/connection_pool.py
+++ b/indigoworks/gateway/connection_pool.py
@@ -9,11 +9,11 @@
 from indigoworks.gateway.server_connection import OpenConnection, ServerConnection
 
 DEFAULT_KEEP_ALIVE_S = 4.0
-"""How long an idle connection is used again where the server does not say how long it keeps it."""
+"""Reuse time of an idle connection whose server sends no keep-alive time-out."""
 
 KEEP_ALIVE_SHARE = 0.6
-"""Share of the time that the server keeps a connection for which it is used again: one that the
-server may be closing is no place for a request that must not run twice."""
+"""Share of the server's keep-alive time-out for which a connection is reused: a request that must
+not run twice must not be sent on a connection that the server may be closing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,9 @@
 
 
 class ConnectionPool:
-    """Idle connections to one server, the one used last first.
+    """Idle connections to one server, reused in last-in first-out order.
 
-    :param on_head: takes the head of each answer of the server.
+    :param on_head: called with status and headers of each response.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._idle: deque[_Idle] = deque()
 
     def acquire(self) -> ServerConnection | None:
-        """Return an idle connection that can be used, or None."""
+        """Return a reusable idle connection, or None."""
         now_s = self._clock.now()
         while self._idle:
             idle = self._idle.pop()
@@ -60,7 +60,7 @@
         return connection
 
     def release(self, connection: ServerConnection, keep_alive_s: float | None) -> None:
-        """Keep a connection for the next request, if it can take one."""
+        """Keep a connection for the next request if it can be reused; close it otherwise."""
         if not connection.is_reusable:
             connection.abort()
             return
@@ -69,7 +69,7 @@
         self._idle.append(_Idle(connection, self._clock.now() + kept_s))
 
     def close_expired(self) -> None:
-        """Close what rested too long."""
+        """Close connections that have been idle for too long."""
         now_s = self._clock.now()
         while self._idle and self._idle[0].until_s <= now_s:
             self._idle.popleft().connection.abort()
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that take part in control."""
+"""The parts of a gateway that take part in the control group."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -33,13 +33,13 @@
 from indigoworks.rowstore.table_follower import TableFollower
 
 LEADER_WAIT_S = 0.8
-"""Longest wait of one step of the feed of the group's rows at its leader."""
+"""Longest poll of the feed of the group's rows at the leader."""
 
 
 class ControlSubsystem:
-    """Leadership, tables of owners, and what the leader does with them.
+    """Leadership, ownership tables, and the leader's work on them.
 
-    :ivar tables: owners of all services as the store names them.
+    :ivar tables: owners of all services according to the store.
     """
 
     def __init__(
@@ -112,20 +112,20 @@
         )
 
     async def follow(self) -> None:
-        """Follow the group's rows until cancelled; they lie where the store's era says."""
+        """Follow the group's rows until cancelled; the store's era determines their part."""
         await self._ports.health.eras.wait_known()
         await self.follower.run()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Go by what of `settings` can change in a running process."""
+        """Apply the settings that can change in a running process."""
         self._policy.set_hold_max(settings.hold_max_s)
 
     def use_server_stats(self, server_stats: ServerStats) -> None:
-        """Take the measured times of servers from `board`."""
+        """Use the measured service times of `board`."""
         self._server_stats = server_stats
 
     def beat(self) -> LeaderBeat | None:
-        """Return the beat to send; None where this process does not lead."""
+        """Return the leader's beat (heartbeat) to send; None if this process does not lead."""
         if not self.leadership.may_act():
             return None
         return LeaderBeat(
@@ -138,7 +138,7 @@
         )
 
     def _earlier_hold_s(self) -> float:
-        """Return how long grants of earlier leaders may hold, also before this one acts."""
+        """Return how long grants of earlier leaders may hold, also before this leader acts."""
         if self.leadership.is_acting():
             return self._bounds.earlier_left_s()
         before = PredecessorBound(self.leadership.previous_leader_row(), self.leadership.liveness)
@@ -146,7 +146,7 @@
         return max(0.0, before.until_s(now_s, self._policy.longest_max_s) - now_s)
 
     def apply_report(self, report: PeerReport) -> None:
-        """Take a report of a peer."""
+        """Apply a report of a peer."""
         era = max(report.operator_row_version.era, report.group_version.era)
         self._ports.health.eras.record_era(era, report.node)
         self.leadership.liveness.record_report(report)
@@ -159,11 +159,11 @@
         self.owners_changed()
 
     def _feed_wait_s(self) -> float:
-        """A leader asks often: each answer is a proof of its leadership."""
+        """Return the longest poll: short at a leader, since each answer proves its leadership."""
         return LEADER_WAIT_S if self.leadership.may_act() else FEED_WAIT_S
 
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force; 0: none."""
+        """Return the version of the configuration in force; 0 if there is none."""
         configuration = self._platform.configurations.current()
         return 0 if configuration is None else configuration.version
 
@@ -190,7 +190,7 @@
         )
 
     def _pending_changed(self) -> None:
-        """Tell everyone at once which ranges are pending: requests wait for it."""
+        """Announce the pending ranges at once, since requests wait for them."""
         beat = self.beat()
         if beat is not None:
             self.tables.apply_beat(beat)
@@ -235,8 +235,8 @@
 
 
 def _ignore_rows(rows: Sequence[Row]) -> None:
-    """Stand in until the gateway has said what to call."""
+    """Default of a callback until the gateway sets it."""
 
 
 def _nothing() -> None:
-    """Stand in until the gateway has said what to call."""
+    """Default of a callback until the gateway sets it."""
--- a/indigoworks/gateway/crash_attribution.py
+++ b/indigoworks/gateway/crash_attribution.py
@@ -1,4 +1,4 @@
-"""Finds out which requests were in hand at servers that ended."""
+"""Attributes crashes of servers to the requests that were in flight there."""
 
 import asyncio
 
@@ -17,22 +17,23 @@
 from indigoworks.servers.server_record import ServerRecord
 
 MAX_CRASHES_PER_ATTEMPT = 2
-"""Servers that may end under one try of a caller, repeats by the gateway included. The first may
-have ended for any reason, and the repeat serves the request; after the second the caller is told. A
-harmful request that comes once ends two servers, and three without this bound (simulated)."""
+"""Servers that may crash under one attempt of a caller, retries by the gateway included. The first
+may have crashed for any reason, and the retry serves the request; after the second the caller gets
+an error. A harmful request that is sent once crashes two servers, three without this bound
+(simulated)."""
 
 BROADCAST_DELAY_S = 0.004
-"""A server that lives takes a new connection within this time, so that peers need not hear of the
-connection that broke off: full servers reset many."""
+"""Delay before peers are told of a broken connection. A running server accepts a new connection
+within this time, and overloaded servers reset many connections."""
 
 
 class CrashAttribution:
-    """Tells the quarantine how requests left their servers, and stops those that it refuses.
+    """Reports the outcome of requests to the quarantine, and refuses quarantined requests.
 
-    A connection that breaks off says nothing of the server: answers are lost and links are cut as
-    well. Only when no new connection comes about right after it, the server counts as ended. Until
-    that is known, and the others know it, the request is in doubt: a harmful one that many send
-    would end a server with each try meanwhile.
+    A broken connection alone does not prove a crash: responses get lost and links fail. A server
+    counts as crashed only if no new connection can be opened right afterwards. Until that is known
+    here and at the peers, the request is in doubt: otherwise a harmful request that many callers
+    send would crash a server with each attempt in the meantime.
     """
 
     def __init__(
@@ -51,15 +52,15 @@
         self._verdicts: set[asyncio.Task[None]] = set()
 
     def refusal(self, request: ClientRequest) -> Refusal | None:
-        """Return why a request must reach no server; None: it may."""
+        """Return the refusal of a quarantined request; None if it may be sent."""
         if not self._quarantine.has_suspects():
             return None
         refused_for_s = self._quarantine.refused_for_s(self._content(request))
         return Refusal(RefusalReason.QUARANTINED, refused_for_s) if refused_for_s > 0 else None
 
     def suspect_mark(self, request: ClientRequest) -> int:
-        """Return what names a request under which a server ended or may have ended, whoever sends
-        it; 0: none has."""
+        """Return the fingerprint of a request under which a server crashed or may have crashed, the
+        same for all callers; 0 if no server did."""
         if not self._quarantine.has_suspects() and not self._doubts.has_any():
             return 0
         content = self._content(request)
@@ -67,7 +68,7 @@
         return 0 if mark is None else mark.short
 
     def record_send(self, state: RequestState) -> None:
-        """Take note that a request is about to be sent: what is known of it now came before."""
+        """Record what is known of a request right before it is sent."""
         state.known_crash_windows = ()
         state.doubts = frozenset()
         if self._quarantine.has_suspects():
@@ -79,26 +80,26 @@
     def record_response(
         self, state: RequestState, server: ServerRecord, answer: ServerResponse
     ) -> None:
-        """Take how a request left a server; `may_repeat` knows what came of it."""
+        """Record the outcome of an attempt; `may_retry` waits for the verdict on its server."""
         if answer.result is ExchangeResult.ANSWERED:
             if not answer.is_not_run:
                 self._quarantine.record_served(self._content(state.request))
         elif answer.was_sent:
-            judging = self._attribute(
+            verdict = self._attribute(
                 state, server, answer, self._clock.now(), state.known_crash_windows
             )
-            state.verdict = asyncio.ensure_future(judging)
+            state.verdict = asyncio.ensure_future(verdict)
             self._verdicts.add(state.verdict)
             state.verdict.add_done_callback(self._verdicts.discard)
 
     async def may_retry(self, state: RequestState) -> bool:
-        """Tell whether the harm that a try has done lets it be sent again."""
+        """Return whether a request may be retried, given the crashes under it so far."""
         if state.verdict is not None:
             await asyncio.shield(state.verdict)
         return state.servers_crashed < MAX_CRASHES_PER_ATTEMPT
 
     async def wait_for_verdicts(self, limit_s: float) -> None:
-        """Wait until it is known of all servers that may have ended here whether they did.
+        """Wait for the verdicts on all servers that may have crashed under requests sent from here.
 
         :param limit_s: clock reading until which to wait.
         """
@@ -107,7 +108,7 @@
             await asyncio.wait(set(self._verdicts), timeout=left_s)
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel pending verdicts."""
         for task in self._verdicts:
             task.cancel()
 
@@ -117,56 +118,55 @@
         server: ServerRecord,
         answer: ServerResponse,
         lost_s: float,
-        known_slots: tuple[int, ...],
+        known_windows: tuple[int, ...],
     ) -> None:
         content = self._content(state.request)
-        # A server that is slow to answer gives no sign: under load there are many of these.
+        # A slow response does not raise a doubt: under load there are many of them.
         is_broken = answer.result is ExchangeResult.LOST
         doubt = self._doubts.raise_for(content) if is_broken else None
-        judging = asyncio.ensure_future(self._has_crashed(server, lost_s))
+        verdict = asyncio.ensure_future(self._has_crashed(server, lost_s))
         try:
             if doubt is not None:
-                await self._broadcast_unless_alive(doubt, judging)
-            has_ended = await judging
+                await self._broadcast_unless_alive(doubt, verdict)
+            has_crashed = await verdict
         finally:
-            judging.cancel()
-        if not has_ended:
+            verdict.cancel()
+        if not has_crashed:
             if doubt is not None:
                 self._doubts.lift(doubt)
             return
         request_id = state.request.request_id
         state.servers_crashed += 1
         if self._doubts.has_open(state.doubts):
-            # Word of the end that was a sign only when this try was sent is still on its way.
-            known_slots = self._with_doubted(content, known_slots, state.doubt_window)
-        self._quarantine.record_crash(content, request_id, server.server_id, lost_s, known_slots)
-
-    async def _broadcast_unless_alive(self, doubt: Doubt, judging: "asyncio.Future[bool]") -> None:
-        """Tell the peers of a doubt as soon as the server has ended, or does not take a connection
-        at once."""
-        done, _ = await asyncio.wait({judging}, timeout=BROADCAST_DELAY_S)
-        if not done or judging.result():
+            # The crash that was a doubt when this attempt was sent is still unconfirmed here.
+            known_windows = self._with_doubted(content, known_windows, state.doubt_window)
+        self._quarantine.record_crash(content, request_id, server.server_id, lost_s, known_windows)
+
+    async def _broadcast_unless_alive(self, doubt: Doubt, verdict: "asyncio.Future[bool]") -> None:
+        """Announce a doubt to the peers unless the server accepts a new connection right away."""
+        done, _ = await asyncio.wait({verdict}, timeout=BROADCAST_DELAY_S)
+        if not done or verdict.result():
             self._doubts.announce(doubt)
 
     def _with_doubted(
-        self, content: RequestContent, known_slots: tuple[int, ...], doubted_slot: int
+        self, content: RequestContent, known_windows: tuple[int, ...], doubt_window: int
     ) -> tuple[int, ...]:
-        """Return the slots of known ends, and of the one that was a sign only."""
-        known = known_slots or (NO_WINDOW,) * len(content.scopes())
-        return tuple(max(each, doubted_slot) for each in known)
+        """Return the windows of known crashes, including the one that was only a doubt."""
+        known = known_windows or (NO_WINDOW,) * len(content.scopes())
+        return tuple(max(each, doubt_window) for each in known)
 
     async def _has_crashed(self, server: ServerRecord, lost_s: float) -> bool:
-        """Tell whether a server ended by `lost_s`, as far as that shows by now."""
+        """Return whether a server that lost a connection at `lost_s` appears to have crashed."""
         if not await self._reachability.has_responded_since(server, lost_s):
             return True
-        # Another life may have its address already.
+        # A new process of the server may already use its address.
         return self._servers.is_gone(server.server_id)
 
     def _content(self, request: ClientRequest) -> RequestContent:
-        """Return what makes another try of a request the same.
+        """Return the content by which attempts of the same request are recognised.
 
-        A call of a server counts as one of its service: the server that makes it ends as well, or
-        its caller is served by another one the next time.
+        A call made by a server counts as made by its service: that server may crash as well, or
+        its own caller may be served by another server next time.
         """
         caller = self._servers.service_at(request.caller) or request.caller
         return RequestContent(caller, request.method, request.host, request.target, request.body)
--- a/indigoworks/gateway/dispatch_queue.py
+++ b/indigoworks/gateway/dispatch_queue.py
@@ -1,4 +1,4 @@
-"""Places requests at servers, and keeps those back for which there is no room."""
+"""Places requests at servers, and queues those for which no server has capacity."""
 
 import asyncio
 from itertools import islice
@@ -21,17 +21,17 @@
 
 
 class DispatchQueue:
-    """Gives each request a server with room, and refuses what cannot be in time.
+    """Gives each request a server with capacity, or refuses it if it would be answered too late.
 
-    The urgent go first; those of one priority share the slots fairly among their groups. A request
-    waits only while it is expected to be answered within its limit; the expectation comes from the
-    requests in flight at all gateways, those that go before it here, and the measured time of one.
-    Requests for a key wait at its owner, the others at their service.
+    Higher priorities go first; within a priority, slots are shared fairly among groups. A request
+    waits only while it is expected to be answered within its limit, estimated from the requests in
+    flight from all gateways, those ahead of it in the queue, and measured service times. Requests
+    for a key wait for its owner, others for any server of their service.
 
-    :ivar expectation: when requests are likely to be answered, and the turns that are promised.
-    :param counts_all: every request to its servers is placed here: room comes only with the end of
-        one of these, and only for those who wait for the same server. Looking at all lines after
-        each end took a third of the time of a broker with 20 owners.
+    :ivar admission: estimates of waiting times, and scheduled retries.
+    :param counts_all: every request to the servers is placed by this object. Capacity is then freed
+        only by the end of such a request, and only for the queue of the same server. Serving all
+        queues after each end took a third of the CPU time of a broker with 20 owners.
     """
 
     def __init__(
@@ -58,15 +58,15 @@
         self._sequence = 0
 
     async def place(self, entry: WaitingRequest) -> Placement:
-        """Return a server with room, or why there is none.
+        """Return a server with capacity, or a refusal.
 
-        Whoever gets a server calls `release` when the request has left it.
+        After a placement the caller must call `release` when the request has ended.
         """
         placement = self.place_immediately(entry)
         return await self.wait_for_placement(entry) if placement is None else placement
 
     def place_immediately(self, entry: WaitingRequest) -> Placement | None:
-        """Return the same where that is known without waiting; None: `wait_for_place` goes on."""
+        """Place a request without waiting; None if `wait_for_placement` has to be awaited."""
         self._sequence += 1
         entry.sequence = self._sequence
         self._enqueue(entry)
@@ -76,7 +76,7 @@
         return self._take_placement(entry)
 
     async def wait_for_placement(self, entry: WaitingRequest) -> Placement:
-        """Return the same for a request that waits since `place_at_once`."""
+        """Wait for the placement of a request that `place_immediately` has queued."""
         try:
             await self._wait(entry)
         except asyncio.CancelledError:
@@ -88,15 +88,15 @@
 
     def _take_placement(self, entry: WaitingRequest) -> Placement:
         placement = entry.placement.result()
-        # Right after this the request counts at its server.
+        # The caller counts the request as in flight right after this.
         if isinstance(placement, ServerRecord):
             self._capacity.release_reservation(placement)
         return placement
 
     def release(self, entry: WaitingRequest, started: RequestStart) -> None:
-        """Take back the place of a request, which it has had since `started`.
+        """Release the server of a request that was sent at `started`.
 
-        Its group is charged with what is left of that time without the wait at the server.
+        Its group is charged with the time since then, less the time queued at the server.
         """
         server = entry.placement.result()
         if isinstance(server, ServerRecord):
@@ -104,21 +104,21 @@
             self._release(entry, max(0.0, self._clock.now() - started.at_s - queued_s))
 
     def capacity_changed(self) -> None:
-        """Place or refuse what waits: owners or servers changed."""
+        """Place or refuse waiting requests after a change of owners or servers."""
         self.admission.invalidate_loads()
         self._outages.close_ended()
-        for line in self._queues.all():
-            self._serve(line)
-            self._refuse_late_in(line)
+        for queue in self._queues.all():
+            self._serve(queue)
+            self._refuse_late_in(queue)
         for entry in self._queues.all_ownerless():
             self._reassess(entry)
 
     def waiting_by_service(self) -> dict[str, int]:
-        """Return how many requests wait, for each service that ever had one waiting."""
+        """Return the number of waiting requests, by service that ever had one."""
         return dict(self._waiting)
 
     async def _wait(self, entry: WaitingRequest) -> None:
-        """Wait for a place while an answer is expected within the request's limit."""
+        """Wait for a placement while a response is expected within the request's limit."""
         while not entry.placement.done():
             left_s = entry.limit_s - self._clock.now()
             if left_s <= 0:
@@ -129,36 +129,36 @@
             await asyncio.wait({entry.placement}, timeout=left_s)
             self._reassess(entry)
 
-    # ---- where a request waits ----
+    # ---- queueing ----
 
     def _enqueue(self, entry: WaitingRequest) -> None:
         if self.admission.claim_scheduled_retry(entry):
             entry.mark_scheduled_retry()
         self._queues.add(entry, self.admission.ready_owner(entry))
-        line = self._serve_queue_of(entry)
-        if line is not None:
-            cost_s = self._server_stats.mean_service_time_s(line.service)
-            self._refuse_late(entry, line.count_before_last(entry, cost_s), {})
+        queue = self._serve_queue_of(entry)
+        if queue is not None:
+            cost_s = self._server_stats.mean_service_time_s(queue.service)
+            self._refuse_late(entry, queue.count_before_last(entry, cost_s), {})
 
     def _serve_queue_of(self, entry: WaitingRequest) -> PlacementQueue | None:
-        """Return the line in which a request still waits after the free places are given."""
-        line = entry.queue
-        if line is None:
+        """Place what can be placed; return the queue in which the request still waits, or None."""
+        queue = entry.queue
+        if queue is None:
             self._refuse_if(entry, self.admission.refusal_without_owner(entry))
             return None
-        self._serve(line)
+        self._serve(queue)
         return None if entry.placement.done() else entry.queue
 
     def _reassess(self, entry: WaitingRequest) -> None:
-        """Place or refuse a request that waits where its owner perhaps no longer is."""
+        """Place or refuse a waiting request whose owner may have changed."""
         if entry.placement.done():
             return
         if is_moved := not self._is_in_owner_queue(entry):
             self._queues.remove(entry)
             self._queues.add(entry, self.admission.ready_owner(entry))
-        line = self._serve_queue_of(entry)
-        if is_moved and line is not None:
-            self._refuse_late_in(line)
+        queue = self._serve_queue_of(entry)
+        if is_moved and queue is not None:
+            self._refuse_late_in(queue)
 
     def _is_in_owner_queue(self, entry: WaitingRequest) -> bool:
         owner = self.admission.ready_owner(entry)
@@ -166,103 +166,105 @@
         return server_id == (None if entry.queue is None else entry.queue.server_id)
 
     def _requeue(self, entry: WaitingRequest) -> None:
-        """Its owner is another one, or none: it goes there, and is looked at after this turn."""
+        """Move a request whose owner changed to its new queue, and reassess it right afterwards."""
         self._queues.remove(entry)
         self._queues.add(entry, self.admission.ready_owner(entry))
         asyncio.get_running_loop().call_soon(self._reassess, entry)
 
-    # ---- places ----
+    # ---- placement ----
 
-    def _serve(self, line: PlacementQueue) -> None:
-        """Give free places to those whose turn it is."""
-        if line.server_id is not None:
-            self._serve_owned(line)
-        elif line:
-            usable = self._selector.usable(line.service)
-            self._serve_any(line, usable)
-            self._await_permit(line, usable)
+    def _serve(self, queue: PlacementQueue) -> None:
+        """Place requests from the head of a queue while servers have capacity."""
+        if queue.server_id is not None:
+            self._serve_owned(queue)
+        elif queue:
+            usable = self._selector.usable(queue.service)
+            self._serve_any(queue, usable)
+            self._await_permit(queue, usable)
 
-    def _serve_any(self, line: PlacementQueue, usable: list[ServerRecord]) -> None:
+    def _serve_any(self, queue: PlacementQueue, usable: list[ServerRecord]) -> None:
         free = self._capacity.with_capacity(usable)
-        while free and (entry := line.head()) is not None:
+        while free and (entry := queue.head()) is not None:
             servers = [each for each in free if each.server_id not in entry.tried]
-            if not servers or self._is_reserved(line, entry, usable):
+            if not servers or self._is_reserved(queue, entry, usable):
                 return
-            self._grant(line, entry, chosen := self._selector.select(servers))
+            self._grant(queue, entry, chosen := self._selector.select(servers))
             if not self._capacity.has_capacity(chosen):
                 free.remove(chosen)
 
-    def _serve_owned(self, line: PlacementQueue) -> None:
-        while (entry := line.head()) is not None:
+    def _serve_owned(self, queue: PlacementQueue) -> None:
+        while (entry := queue.head()) is not None:
             owner = self.admission.ready_owner(entry)
-            if owner is None or owner.server_id != line.server_id:
+            if owner is None or owner.server_id != queue.server_id:
                 self._requeue(entry)
             elif self._capacity.is_paced_elsewhere(owner):
                 self._refuse(entry, queue_refusals.paced_by_broker(owner.server_id))
-            elif self._capacity.has_capacity(owner) and not self._is_reserved(line, entry, [owner]):
-                self._grant(line, entry, owner)
+            elif self._capacity.has_capacity(owner) and not self._is_reserved(
+                queue, entry, [owner]
+            ):
+                self._grant(queue, entry, owner)
             else:
-                self._await_permit(line, [owner])
+                self._await_permit(queue, [owner])
                 return
 
     def _is_reserved(
-        self, line: PlacementQueue, entry: WaitingRequest, servers: list[ServerRecord]
+        self, queue: PlacementQueue, entry: WaitingRequest, servers: list[ServerRecord]
     ) -> bool:
-        """Tell whether the next turn is another caller's; the line is looked at again after it."""
+        """Return whether the next permit is reserved for a scheduled retry; sets a timer if so."""
         if entry.is_scheduled_retry or not self._capacity.has_rate_limits():
             return False
-        kept_s = self.admission.reserved_for_s(line.name, servers)
-        if kept_s > 0:
-            self._timers.schedule(line, kept_s)
-        return kept_s > 0
-
-    def _await_permit(self, line: PlacementQueue, servers: list[ServerRecord]) -> None:
-        """Look at a line again at the next turn of its servers: no request need end by then."""
-        turn_s = self._capacity.permit_in_s(servers) if line else 0.0
-        if turn_s > 0:
-            self._timers.schedule(line, turn_s)
-
-    def _grant(self, line: PlacementQueue, entry: WaitingRequest, server: ServerRecord) -> None:
-        line.grant(entry, self._server_stats.service_time_s(server))
+        reserved_s = self.admission.reserved_for_s(queue.name, servers)
+        if reserved_s > 0:
+            self._timers.schedule(queue, reserved_s)
+        return reserved_s > 0
+
+    def _await_permit(self, queue: PlacementQueue, servers: list[ServerRecord]) -> None:
+        """Serve a queue again at the next permit of its servers, which no event announces."""
+        permit_s = self._capacity.permit_in_s(servers) if queue else 0.0
+        if permit_s > 0:
+            self._timers.schedule(queue, permit_s)
+
+    def _grant(self, queue: PlacementQueue, entry: WaitingRequest, server: ServerRecord) -> None:
+        queue.grant(entry, self._server_stats.service_time_s(server))
         self.admission.cancel_scheduled_retry(entry)
         entry.placement.set_result(server)
         self._capacity.reserve(server)
 
     def _release(self, entry: WaitingRequest, cost_s: float) -> None:
-        line = entry.queue
-        if line is None:
+        queue = entry.queue
+        if queue is None:
             return
-        line.settle(entry, cost_s)
+        queue.settle(entry, cost_s)
         entry.queue = None
-        if self._waiting.get(line.service):
+        if self._waiting.get(queue.service):
             if self._counts_all:
-                self._serve_and_review(line)
+                self._serve_and_review(queue)
             else:
-                self._serve_service(line.service)
-        self._queues.drop_if_idle(line)
+                self._serve_service(queue.service)
+        self._queues.drop_if_idle(queue)
 
-    def _serve_and_review(self, line: PlacementQueue) -> None:
-        """Give free places to what waits in a line, and now and then refuse what will be late."""
-        if not line:
+    def _serve_and_review(self, queue: PlacementQueue) -> None:
+        """Serve a queue, and from time to time refuse the requests in it that would be late."""
+        if not queue:
             return
-        self._serve(line)
-        if line and line.is_review_due():
-            self._refuse_late_in(line)
+        self._serve(queue)
+        if queue and queue.is_review_due():
+            self._refuse_late_in(queue)
 
     def _serve_service(self, service: str) -> None:
-        """Look at all that waits for a service: other gateways make room, too, and owners return.
+        """Serve all queues of a service: other gateways free capacity too, and owners return.
 
-        The work grows with the lines, not with what waits in them.
+        The work is proportional to the number of queues, not of waiting requests.
         """
-        for line in self._queues.of_service(service):
-            self._serve_and_review(line)
+        for queue in self._queues.of_service(service):
+            self._serve_and_review(queue)
         for entry in list(islice(self._queues.ownerless(service), REVIEWS_PER_CHANGE)):
             self._reassess(entry)
-            # The others have their turn with the next change.
+            # Check other requests first after the next change.
             self._queues.move_to_end(entry)
 
     def _withdraw(self, entry: WaitingRequest) -> None:
-        """Its caller has left: what it waited for, or has got meanwhile, is for others."""
+        """Remove a cancelled request, and release its server if it had been placed already."""
         if not entry.placement.done():
             entry.placement.cancel()
             self._queues.remove(entry)
@@ -273,11 +275,11 @@
 
     # ---- refusals ----
 
-    def _refuse_late_in(self, line: PlacementQueue) -> None:
-        """Refuse, in the order in which they go, those that cannot be in time any more."""
+    def _refuse_late_in(self, queue: PlacementQueue) -> None:
+        """Refuse the requests of a queue, in order, that can no longer be answered in time."""
         ahead = 0
         loads: LoadCache = {}
-        for entry in list(line.in_order(self._server_stats.mean_service_time_s(line.service))):
+        for entry in list(queue.in_order(self._server_stats.mean_service_time_s(queue.service))):
             if not self._is_in_owner_queue(entry):
                 self._requeue(entry)
             elif not self._refuse_late(entry, ahead, loads):
--- a/indigoworks/gateway/exchange_factory.py
+++ b/indigoworks/gateway/exchange_factory.py
@@ -17,9 +17,9 @@
     source: ReportSource,
     clock: Clock,
 ) -> DatagramExchange:
-    """Return the exchange of a process.
+    """Build the report exchange of a gateway.
 
-    :param capacity: what its machine offers as hub; 0: it is none.
+    :param capacity: capacity of its machine as a hub; 0 if it cannot be one.
     """
     choice = HubSelector(
         settings.node, settings.zone, capacity, directory, table, source.leader_node, clock
--- a/indigoworks/gateway/first_attempts.py
+++ b/indigoworks/gateway/first_attempts.py
@@ -1,16 +1,16 @@
-"""How long ago callers tried first, by the time that they still wait."""
+"""Estimates how long ago a caller first sent a request, from its remaining deadline."""
 
 from dataclasses import dataclass
 
 from indigoworks.common.clock import Clock
 
 WINDOW_S = 10.0
-"""The longest wait of a route is that of the last one to two windows."""
+"""The longest deadline of a route is taken over the current and the previous window."""
 
 
 @dataclass(slots=True)
 class _LongestWait:
-    """Longest wait in the window that began at `began_s`, and in the one before it."""
+    """Longest deadline in the window that began at `began_s`, and in the one before it."""
 
     began_s: float
     newest_s: float
@@ -18,9 +18,9 @@
 
 
 class FirstAttempts:
-    """Callers of a route begin with the same deadline; one that comes back has less of it left.
+    """Infers the age of retries, assuming that callers of a route start with the same deadline.
 
-    An answer counts from a caller's first try: what comes back late for that can only be late.
+    A caller that retries has less of its deadline left. Latency counts from its first attempt.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -28,17 +28,16 @@
         self._longest: dict[str, _LongestWait] = {}
 
     def age_s(self, route: str, wait_s: float | None) -> float:
-        """Return how long ago the caller of a request tried first, in seconds; 0 where its route
-        shows nothing else.
+        """Return the estimated seconds since the caller's first attempt; 0 for a first attempt.
 
         :param route: name of the request's route.
-        :param wait_s: seconds that its caller still waits; None: it does not say.
+        :param wait_s: seconds that the caller still waits; None if not stated.
         """
         if wait_s is None:
             return 0.0
-        return max(0.0, self._longest_s(route, wait_s) - wait_s)
+        return max(0.0, self._longest_wait_s(route, wait_s) - wait_s)
 
-    def _longest_s(self, route: str, wait_s: float) -> float:
+    def _longest_wait_s(self, route: str, wait_s: float) -> float:
         now_s = self._clock.now()
         known = self._longest.get(route)
         if known is None:
--- a/indigoworks/gateway/placement_queues.py
+++ b/indigoworks/gateway/placement_queues.py
@@ -8,31 +8,31 @@
 
 
 class PlacementQueues:
-    """A line for each service, one for each owner of keys, and the requests without an owner."""
+    """A queue for each service, one for each owner of keys, and the requests without an owner."""
 
     def __init__(self) -> None:
         self._queues: dict[tuple[str, str | None], PlacementQueue] = {}
         self._ownerless: dict[str, dict[WaitingRequest, None]] = {}
 
     def add(self, entry: WaitingRequest, owner: ServerRecord | None) -> None:
-        """Put a request into the line of its key's owner or of its service."""
+        """Put a request into the queue of its key's owner or of its service."""
         if entry.key is not None and owner is None:
             self._ownerless.setdefault(entry.service, {})[entry] = None
             return
         name = (entry.service, None if owner is None else owner.server_id)
-        line = self._queues.get(name)
-        if line is None:
-            line = self._queues[name] = PlacementQueue(*name)
-        line.push(entry)
+        queue = self._queues.get(name)
+        if queue is None:
+            queue = self._queues[name] = PlacementQueue(*name)
+        queue.push(entry)
 
     def remove(self, entry: WaitingRequest) -> None:
         """Take out a request that waits no longer."""
-        line = entry.queue
-        if line is None:
+        queue = entry.queue
+        if queue is None:
             del self._ownerless[entry.service][entry]
             return
-        line.remove(entry)
-        self.drop_if_idle(line)
+        queue.remove(entry)
+        self.drop_if_idle(queue)
 
     def move_to_end(self, entry: WaitingRequest) -> None:
         """Let a request without an owner be looked at after all others of its service."""
@@ -40,21 +40,21 @@
         if entry in ownerless:
             ownerless[entry] = ownerless.pop(entry)
 
-    def drop_if_idle(self, line: PlacementQueue) -> None:
-        """Forget a line in which nothing waits, and of which nothing is at work."""
-        if line.is_idle():
-            self._queues.pop((line.service, line.server_id), None)
+    def drop_if_idle(self, queue: PlacementQueue) -> None:
+        """Forget a queue in which nothing waits, and of which nothing is at work."""
+        if queue.is_idle():
+            self._queues.pop((queue.service, queue.server_id), None)
 
     def is_empty(self) -> bool:
         """Tell whether nothing waits, and nothing that was placed is at work."""
         return not self._queues and not any(self._ownerless.values())
 
     def all(self) -> list[PlacementQueue]:
-        """Return all lines."""
+        """Return all queues."""
         return list(self._queues.values())
 
     def of_service(self, service: str) -> list[PlacementQueue]:
-        """Return the lines of a service."""
+        """Return the queues of a service."""
         return [each for each in self._queues.values() if each.service == service]
 
     def all_ownerless(self) -> list[WaitingRequest]:
