--- a/indigoworks/controller/new_service_split.py
+++ b/indigoworks/controller/new_service_split.py
@@ -3,12 +3,12 @@
 from collections.abc import Sequence
 
 from indigoworks.controller.ownership_context import OwnershipContext, change_command
-from indigoworks.controller.ownership_rules import spread
+from indigoworks.controller.ownership_rules import grant_to_lightest
 from indigoworks.controller.placement.key_space_split import split_key_space
 from indigoworks.settings import SettingsResolver
 from indigoworks.wire.control_pb2 import Command
 
-SERVERS_STABLE_S = 1.5
+MIN_STABLE_S = 1.5
 """Time for which the servers of a new service must not change before its key space is split.
 
 Longer than the discovery interval, so that servers that start together all get ranges. Without it
@@ -34,7 +34,7 @@
             if resolved is None or not self._are_servers_stable(context, service):
                 continue
             ranges = split_key_space(service, resolved.placement.initial_ranges)
-            commands.append(change_command([], spread(context, service, ranges)))
+            commands.append(change_command([], grant_to_lightest(context, service, ranges)))
         return commands
 
     def _are_servers_stable(self, context: OwnershipContext, service: str) -> bool:
@@ -43,4 +43,4 @@
         if self._candidates.get(service) != names:
             self._candidates[service] = names
             self._unchanged_since_s[service] = now_s
-        return bool(names) and now_s - self._unchanged_since_s[service] >= SERVERS_STABLE_S
+        return bool(names) and now_s - self._unchanged_since_s[service] >= MIN_STABLE_S
--- a/indigoworks/controller/ownership_manager.py
+++ b/indigoworks/controller/ownership_manager.py
@@ -13,7 +13,7 @@
 from indigoworks.controller.ownership_rules import (
     OwnershipRule,
     assign_unowned_ranges,
-    empty_leaving_servers,
+    drain_leaving_servers,
     finish_handovers,
     mark_draining_servers,
     reassign_ranges_of_lost_servers,
@@ -60,7 +60,7 @@
             renew_grants_of_earlier_generations,
             finish_handovers,
             mark_draining_servers,
-            empty_leaving_servers,
+            drain_leaving_servers,
             NewServiceSplit(),
             assign_unowned_ranges,
             split_out_hot_keys,
--- a/indigoworks/controller/ownership_rules.py
+++ b/indigoworks/controller/ownership_rules.py
@@ -74,7 +74,7 @@
     for records in _by_service(unowned):
         service = records[0].service
         if context.candidates(service):
-            commands.append(change_command(records, spread(context, service, records)))
+            commands.append(change_command(records, grant_to_lightest(context, service, records)))
     return commands
 
 
@@ -90,7 +90,7 @@
     return commands
 
 
-def empty_leaving_servers(context: OwnershipContext) -> Sequence[Command]:
+def drain_leaving_servers(context: OwnershipContext) -> Sequence[Command]:
     """Ask leaving servers to release their ranges, a share in each round."""
     commands: list[Command] = []
     for server in context.state.servers():
@@ -158,7 +158,7 @@
     return context.granted_to(record, owner)
 
 
-def spread(
+def grant_to_lightest(
     context: OwnershipContext, service: str, records: Iterable[RangeRecord]
 ) -> Sequence[RangeRecord]:
     """Return `records` granted to the lightest servers of the service."""
--- a/indigoworks/controller/rebalancer.py
+++ b/indigoworks/controller/rebalancer.py
@@ -64,7 +64,7 @@
             self._balanced_inputs[service] = inputs
             self._uneven_since_s.pop(service, None)
             return []
-        if not self._has_lasted(context, service, placement):
+        if not self._has_imbalance_lasted(context, service, placement):
             return []
         return self._start_moves(context, service, placement, list(records), weights, threshold)
 
@@ -91,7 +91,7 @@
             records[records.index(record)] = moving
         return commands
 
-    def _has_lasted(
+    def _has_imbalance_lasted(
         self, context: OwnershipContext, service: str, placement: PlacementSettings
     ) -> bool:
         now_s = context.clock.now()
--- a/indigoworks/controller/settings_table.py
+++ b/indigoworks/controller/settings_table.py
@@ -27,10 +27,10 @@
 
     async def read(self) -> Result[SettingsRecord | None, PlatformError]:
         """Return the latest accepted settings, or None if there are none yet."""
-        answer = await self._table.read(self._key)
-        if isinstance(answer, Err):
-            return answer
-        row = answer.unwrap()
+        response = await self._table.read(self._key)
+        if isinstance(response, Err):
+            return response
+        row = response.unwrap()
         return Ok(None if row is None else SettingsRecord.from_row(row.value, row.version))
 
     async def write(self, record: SettingsRecord) -> Result[None, PlatformError]:
--- a/indigoworks/quarantine/doubt_table.py
+++ b/indigoworks/quarantine/doubt_table.py
@@ -9,7 +9,7 @@
 from indigoworks.quarantine.request_content import RequestContent
 from indigoworks.quarantine.request_mark import RequestMark, body_of, head_of, mark_of
 
-DOUBT_S = 2.0
+DOUBT_LIFETIME_S = 2.0
 """Lifetime of a doubt that is not lifted: by then every gateway knows of a confirmed crash."""
 
 MAX_DOUBTS = 1000
@@ -100,7 +100,7 @@
         if known is None:
             if len(self._doubts) >= MAX_DOUBTS:
                 return
-            self._expiries.append((self._clock.now() + DOUBT_S, doubt.number))
+            self._expiries.append((self._clock.now() + DOUBT_LIFETIME_S, doubt.number))
         elif known.is_lifted or not doubt.is_lifted:
             return
         self._doubts[doubt.number] = doubt
--- a/indigoworks/quarantine/quarantine.py
+++ b/indigoworks/quarantine/quarantine.py
@@ -45,7 +45,7 @@
     :ivar on_status_change: called with a request that becomes refused or is cleared, if this
         process detected one of its crashes or the run that clears it.
     :ivar on_refusal: called on each refusal.
-    :ivar on_crash: called on each crash that this process detected.
+    :ivar on_crash: called with each suspect of a crash that this process detected.
     """
 
     def __init__(self, clock: Clock, to_common_s: Callable[[float], float] = _identity) -> None:
--- a/indigoworks/quarantine/quarantine_rows.py
+++ b/indigoworks/quarantine/quarantine_rows.py
@@ -22,17 +22,17 @@
 ROW_PREFIX = "quarantine/"
 """Prefix of row keys; the row number follows."""
 
-ROWS = 64
+ROW_COUNT = 64
 """Fixed number of rows, so that rows need not be removed. Requests whose marks map to the same row
 overwrite each other there; running gateways still know all of them."""
 
-RETRY_S = 1.0
+RETRY_INTERVAL_S = 1.0
 """Pause after a failed write; peers learn of the request from reports meanwhile."""
 
-MAX_PENDING_WRITES = ROWS
+MAX_PENDING_WRITES = ROW_COUNT
 """Most pending writes; requests beyond that are only reported to peers."""
 
-REFRESH_S = RETENTION_S / 2
+REFRESH_AGE_S = RETENTION_S / 2
 """Age after which the row of a request that is still being refused is written again, so that it has
 not expired when all gateways restart."""
 
@@ -118,7 +118,7 @@
     def handle_refusal(self, suspect: Suspect) -> None:
         """Schedule another write for a refused request whose row is old."""
         written_s = self._written_s.get(_row_number(suspect.mark), float("-inf"))
-        if self._clock.now() - written_s > REFRESH_S:
+        if self._clock.now() - written_s > REFRESH_AGE_S:
             self.schedule_write(suspect)
 
     def apply_rows(self, rows: Iterable[Row]) -> None:
@@ -133,7 +133,7 @@
             self._has_work.clear()
             while self._pending:
                 if not await self._write(next(iter(self._pending))):
-                    await self._clock.sleep(RETRY_S)
+                    await self._clock.sleep(RETRY_INTERVAL_S)
 
     async def _write(self, mark: RequestMark) -> bool:
         """Write the current state of a request to its row; return False if the store failed."""
@@ -177,7 +177,7 @@
 
 
 def _row_number(mark: RequestMark) -> int:
-    return mark.head % ROWS
+    return mark.head % ROW_COUNT
 
 
 def _row_key(mark: RequestMark) -> str:
--- a/indigoworks/quarantine/suspect_report_queue.py
+++ b/indigoworks/quarantine/suspect_report_queue.py
@@ -12,7 +12,7 @@
 """Reports that include a suspect after each change of it. At least every second report goes to all
 zones, and each gateway that learns of the change reports it as often again."""
 
-REPEAT_S = 1.0
+REPEAT_INTERVAL_S = 1.0
 """Interval at which suspects with more than one crash are reported again, for gateways that lost
 all earlier reports. A peer that comes back into contact gets all suspects at once."""
 
@@ -71,7 +71,7 @@
     def _next_repeated(self, limit: int) -> list[Suspect]:
         """Return up to `limit` suspects that are reported again without a change."""
         now_s = self._clock.now()
-        if not self._to_repeat and now_s - self._repeated_s >= REPEAT_S:
+        if not self._to_repeat and now_s - self._repeated_s >= REPEAT_INTERVAL_S:
             self._repeated_s = now_s
             # Scanning all suspects for each report took 1 ms with 1,000 of them.
             self._to_repeat.extend(each.mark for each in self._table.all() if len(each.crashes) > 1)
