--- a/indigoworks/gateway/notice_reports.py
+++ b/indigoworks/gateway/notice_reports.py
@@ -1,4 +1,4 @@
-"""What this gateway tells its peers of servers' wishes, and what they tell it."""
+"""Exchange of servers' notices (rest, leaving, rate limits) with the peers."""
 
 from collections.abc import Iterable
 
@@ -9,21 +9,23 @@
 from indigoworks.servers.server_notice import ServerNotice
 
 LIMITS_IN_REPORT = 14
-"""Words on limits in one report; where there are more each report goes on where the last ended. In
-a group of 195 gateways, whose hubs report each 0.1 to 0.2 s, 100 such servers take about a
+"""Limits in one report; if there are more, each report continues where the last one ended. In a
+group of 195 gateways, whose hubs report every 0.1 to 0.2 s, 100 limited servers take about a
 second."""
 
-LEAVING_TOLD_S = 5.0
-"""For so long after a server told this process that it leaves reports say so. Its own entry says it
-by then, or the peers that were not reached are told by the server itself."""
+LEAVING_REPORTED_S = 5.0
+"""Time for which reports repeat that a server told this process that it is leaving. By then its own
+entry says so, or the server itself has told the peers that the reports did not reach."""
 
 
 class NoticeReports:
-    """Tells of rests and leavings only what servers told this process, so that whoever counts the
-    gateways that a server asked for rest counts each once. Of limits it tells the newest word that
-    it knows: they bind all, and the gateway that heard one may end.
+    """Builds the notices of outgoing reports, and applies those of received ones.
 
-    :param node: of this process.
+    Rests and leavings are reported only by the gateway that the server told, so that each gateway
+    that a server asked for rest is counted once. Limits apply to all gateways, and the one that
+    received a limit may stop, so each gateway reports the newest limits that it knows.
+
+    :param node: name of this process.
     """
 
     def __init__(self, node: str, servers: ServerList) -> None:
@@ -32,19 +34,19 @@
         self._first_limit = 0
 
     def has_any(self) -> bool:
-        """Tell whether there is anything to tell."""
+        """Return whether there is anything to report."""
         notices = self._servers.notices
         return notices.limits.has_reported() or (notices.has_any() and bool(self._own_notes()))
 
     def next_notes(self) -> tuple[SharedNotice, ...]:
-        """Return what the next report says; empty without any work while nobody asks."""
+        """Return the notices of the next report; cheap while there are none."""
         notices = self._servers.notices
-        wishes = self._own_notes() if notices.has_any() else []
+        own = self._own_notes() if notices.has_any() else []
         limits = self._next_limits() if notices.limits.has_reported() else []
-        return merge_notices([*wishes, *limits])
+        return merge_notices([*own, *limits])
 
     def _own_notes(self) -> list[SharedNotice]:
-        """Return the wishes that this process was told of itself."""
+        """Return the rests and leavings that servers told this process."""
         notices = self._servers.notices
         resting = [
             SharedNotice(server_checksum(each), notices.rests.left_s(each), (self._own,), False)
@@ -52,23 +54,23 @@
         ]
         leaving = [
             SharedNotice(server_checksum(each), 0.0, (), True)
-            for each in notices.said_leaving_within(LEAVING_TOLD_S)
+            for each in notices.said_leaving_within(LEAVING_REPORTED_S)
         ]
         return [*resting, *leaving]
 
     def _next_limits(self) -> list[SharedNotice]:
-        """Return the next part of the words on limits, whoever heard them."""
-        words = list(self._servers.notices.limits.reported_limits())
-        first = self._first_limit % len(words)
+        """Return the next part of the known limits, whichever gateway received them."""
+        known = list(self._servers.notices.limits.reported_limits())
+        first = self._first_limit % len(known)
         self._first_limit = first + LIMITS_IN_REPORT
-        told = (words + words)[first : first + min(LIMITS_IN_REPORT, len(words))]
+        part = (known + known)[first : first + min(LIMITS_IN_REPORT, len(known))]
         return [
-            SharedNotice(server_checksum(server_id), 0.0, (), False, word)
-            for server_id, word in told
+            SharedNotice(server_checksum(server_id), 0.0, (), False, limit)
+            for server_id, limit in part
         ]
 
     def apply(self, notes: Iterable[SharedNotice]) -> None:
-        """Take what a report of a peer says."""
+        """Apply the notices of a peer's report."""
         known = tuple(notes)
         if not known:
             return
--- a/indigoworks/gateway/owner_lookup.py
+++ b/indigoworks/gateway/owner_lookup.py
@@ -1,4 +1,4 @@
-"""Who owns a key, and whether requests may go there now."""
+"""Finds the owner of a key, and whether it can serve requests now."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,24 +11,24 @@
 from indigoworks.servers.server_source import ServerSource
 
 NOT_HELD_S = 0.05
-"""After its owner said that it does not hold a key, the range counts as not granted for so long:
-asking again at once would only cost repeats."""
+"""Time for which a range counts as not granted after its owner said that it does not hold a key:
+sending requests there at once would only use up retries."""
 
 MAX_NOT_HELD_S = 0.4
-"""Each time that it says so again the time doubles, up to this."""
+"""Upper bound of that time, which doubles with each further such answer."""
 
 NOT_HELD_MEMORY_S = 1.0
-"""Word that comes so long after that time is word of another trouble: it begins anew."""
+"""An answer that arrives this long after that time starts with NOT_HELD_S again."""
 
 
 class OwnerState(Enum):
-    """States of a key as a gateway sees them."""
+    """States of a key's owner as a gateway sees them."""
 
     READY = "ready"
     PENDING = "pending"
-    """The owner has not been granted the key yet, or just said that it does not hold it."""
+    """The owner has not been granted the key yet, or recently said that it does not hold it."""
     UNREACHABLE = "unreachable"
-    """The owner cannot be reached, is leaving, or is not known."""
+    """The owner cannot be reached, is leaving, or is unknown."""
     RESTING = "resting"
     """The owner asked this process for rest."""
     NONE = "none"
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """Owner of a key; `token` is that of its range, `first` the first key of it.
+    """Owner of a key, with the token and the first key of its range.
 
-    :ivar rest_left_s: seconds for which it asked for rest; 0: it did not.
+    :ivar rest_left_s: seconds left of the rest that the owner asked for; 0 if it did not.
     """
 
     state: OwnerState
@@ -55,7 +55,7 @@
 
 
 class OwnerLookup:
-    """Joins the tables of owners with the list of servers, and with what owners said themselves."""
+    """Combines ownership tables, the server list, reachability, and answers of the owners."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self._not_held: dict[tuple[str, OwnedRange], _NotHeld] = {}
 
     def record_not_held(self, service: str, key: int, server_id: str) -> None:
-        """Take note that a server said it does not hold a key that the table gives it."""
+        """Record that a server denied holding a key that the table assigns to it."""
         found = self._tables.find(service, key)
         if found is None or found.server_id != server_id:
             return
--- a/indigoworks/gateway/owner_outages.py
+++ b/indigoworks/gateway/owner_outages.py
@@ -1,4 +1,4 @@
-"""How long keys stay without an owner that serves them, by what was seen so far."""
+"""Estimates how long keys stay without a ready owner, from past outages."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,17 +12,17 @@
 from indigoworks.gateway.server_stats import ServerStats
 from indigoworks.gateway.waiting_request import WaitingRequest
 
-REMEMBERED = 32
-"""Past outages of each kind that an expectation goes by: the oldest is forgotten first, so that a
-gateway adapts within one trouble. A server that is lost leaves a handful of ranges behind."""
+MAX_PAST_OUTAGES = 32
+"""Past outages of each state that an estimate uses. The oldest is dropped first, so that a gateway
+adapts during one incident: a lost server leaves a handful of ranges behind."""
 
 OWNER_POLL_S = 0.05
-"""Time between two looks at a request without an owner: the longer the outage lasts, the longer it
-is expected to last, and some end without a message, such as the rest after a 421 (0.05 s)."""
+"""Period in which a request without a ready owner is reassessed: an outage is expected to last
+longer the longer it lasts, and some end without an event, as the pause after a 421 (0.05 s)."""
 
 MAX_OPEN = 1000
-"""Outages followed at a time, for a bound on memory; requests for keys of further ones are refused
-as if nothing were known."""
+"""Most outages tracked at a time, to bound memory; requests for keys of further ones are estimated
+as if their outage had just begun."""
 
 ASSUMED_S = {
     OwnerState.PENDING: 0.15,
@@ -30,19 +30,19 @@
     OwnerState.RESTING: 1.0,
     OwnerState.NONE: 1.0,
 }
-"""Assumed length in seconds before any outage of that kind was seen; no measurement, an estimate.
-Pending: a planned move, which waits for the work under way and makes two calls. The others: the
-silence after which a server is taken for lost, or a moment in which the leader hears that it asked
-several gateways for rest, and a moment to grant its keys anew."""
+"""Assumed length in seconds before any outage in that state was observed. Pending: a planned move,
+which waits for requests in progress and makes two calls. Others: the time until a server counts as
+lost, or until the leader learns that it asked several gateways for rest, and the time to grant its
+keys to another server."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Outage:
     """One range without an owner.
 
-    :ivar key: the key that was asked for first.
-    :ivar state: state of its owner then. An owner that is out of reach is replaced by one that is
-        not granted the key yet: for those who wait that is one outage.
+    :ivar key: the first requested key.
+    :ivar state: state of its owner at that time. An unreachable owner is replaced by one that has
+        not been granted the key yet: for waiting requests this is one outage.
     """
 
     service: str
@@ -67,9 +67,9 @@
         self._lengths_s: dict[OwnerState, deque[float]] = {}
 
     def refusal_if_late(self, entry: WaitingRequest) -> Refusal | None:
-        """Return a refusal where the next owner of the request's key is likely to be late for it.
+        """Return a refusal if the request's key is unlikely to have a ready owner in time.
 
-        Waiting costs its caller the time to try again, so a request waits only while it is more
+        Waiting uses up the caller's time for a retry, so a request waits only while it is more
         likely than not to be answered within its limit.
 
         :param entry: a request for a key whose owner is not ready.
@@ -82,13 +82,13 @@
         return queue_refusals.no_owner(owner, left_s)
 
     def refusal(self, entry: WaitingRequest) -> Refusal:
-        """Return the refusal of a request for a key without an owner, in time or not."""
+        """Return the refusal of a request for a key without a ready owner."""
         assert entry.key is not None
         owner = self._owners.find(entry.service, entry.key)
         return queue_refusals.no_owner(owner, self._left_s(entry.service, entry.key, owner))
 
     def close_ended(self) -> None:
-        """Take note of the outages whose keys have an owner again; called when owners change."""
+        """Close the outages whose keys have a ready owner again; called when owners change."""
         for name, outage in list(self._open.items()):
             if self._owners.find(outage.service, outage.key).state is not OwnerState.READY:
                 continue
@@ -104,14 +104,14 @@
             )
 
     def _left_s(self, service: str, key: int, owner: Owner) -> float:
-        """Return the seconds until a key whose owner is not ready is likely to be served again."""
+        """Return the expected seconds until a key whose owner is not ready is served again."""
         outage = self._open.get((service, owner.first))
         if outage is None:
             outage = _Outage(service, key, owner.state, self._clock.now())
             if len(self._open) < MAX_OPEN:
                 self._open[service, owner.first] = outage
         expected_s = self._expected_left_s(outage.state, self._clock.now() - outage.since_s)
-        # The keys of a server that rests may move before its rest is over, and need not after it.
+        # The keys of a resting server may move before its rest ends, and need not move afterwards.
         return min(expected_s, owner.rest_left_s) if owner.rest_left_s else expected_s
 
     def _service_s(self, owner: Owner, service: str) -> float:
@@ -123,8 +123,8 @@
         left_s = sorted(each - age_s for each in self._lengths(state) if each > age_s)
         if left_s:
             return left_s[len(left_s) // 2]
-        # It outlasts all that were seen: nothing says that it ends soon.
+        # It outlasts all observed outages, so there is no evidence that it ends soon.
         return max(ASSUMED_S[state] - age_s, age_s)
 
     def _lengths(self, state: OwnerState) -> deque[float]:
-        return self._lengths_s.setdefault(state, deque(maxlen=REMEMBERED))
+        return self._lengths_s.setdefault(state, deque(maxlen=MAX_PAST_OUTAGES))
--- a/indigoworks/gateway/placement_queue.py
+++ b/indigoworks/gateway/placement_queue.py
@@ -1,4 +1,4 @@
-"""The requests that compete for the same places."""
+"""Queue of the requests that wait for the same servers."""
 
 from collections.abc import Iterator
 
@@ -6,14 +6,14 @@
 from indigoworks.gateway.waiting_request import WaitingRequest
 
 REVIEWS_PER_CHANGE = 16
-"""Waiting requests that each change pays to look at again, so that work per change is bounded."""
+"""Waiting requests reviewed per change on average, which bounds the work per change."""
 
 
 class PlacementQueue:
-    """Urgent requests first; those of one priority fairly among groups; of a group by arrival.
+    """Orders requests by priority, then fairly among groups, then by arrival within a group.
 
-    :ivar service: service whose servers, or whose server, it waits for.
-    :ivar server_id: the owner that it waits for; None: any server of the service.
+    :ivar service: service of the servers that the requests wait for.
+    :ivar server_id: the key owner that they wait for; None for any server of the service.
     """
 
     def __init__(self, service: str, server_id: str | None) -> None:
@@ -24,14 +24,14 @@
 
     @property
     def name(self) -> tuple[str, str | None]:
-        """Return what it waits for: its service, and the owner, if it is that of keys."""
+        """Return the service, and the owner if the queue is for an owner of keys."""
         return self.service, self.server_id
 
     def __len__(self) -> int:
         return sum(map(len, self._queues.values()))
 
     def is_idle(self) -> bool:
-        """Tell whether nothing waits and nothing that was placed is still at work."""
+        """Return whether no request waits, and none that was placed is still in progress."""
         return all(each.is_idle() for each in self._queues.values())
 
     def push(self, entry: WaitingRequest) -> None:
@@ -44,32 +44,32 @@
         entry.queue = self
 
     def remove(self, entry: WaitingRequest) -> None:
-        """Take out a request that waits no longer."""
+        """Remove a waiting request."""
         self._queues[entry.priority].remove(entry)
         entry.queue = None
 
     def head(self) -> WaitingRequest | None:
-        """Return the request whose turn it is."""
+        """Return the next request, or None."""
         for queue in self._queues.values():
             if queue:
                 return queue.head()
         return None
 
     def grant(self, entry: WaitingRequest, cost_s: float) -> None:
-        """Charge a request that has got a place with the slot seconds expected of it."""
+        """Charge a placed request with its expected slot seconds."""
         self._queues[entry.priority].grant(entry, cost_s)
 
     def settle(self, entry: WaitingRequest, cost_s: float) -> None:
-        """Charge a request that has left its place with what it took in fact."""
+        """Replace the charge of a finished request by its actual slot seconds."""
         self._queues[entry.priority].give_back(entry, cost_s)
 
     def in_order(self, cost_s: float) -> Iterator[WaitingRequest]:
-        """Yield what waits in the order in which it goes if each request costs `cost_s`."""
+        """Yield the waiting requests in the order of placement if each costs `cost_s`."""
         for queue in self._queues.values():
             yield from queue.in_order(cost_s)
 
     def count_before_last(self, entry: WaitingRequest, cost_s: float) -> int:
-        """Return how many go before `entry`, or before the last of its group and priority."""
+        """Return the number of requests before the last one of `entry`'s group and priority."""
         before = 0
         for priority, queue in self._queues.items():
             if priority == entry.priority:
@@ -78,9 +78,10 @@
         return before
 
     def is_review_due(self) -> bool:
-        """Count a change; tell whether all that waits is to be judged again.
+        """Count a change, and return whether all waiting requests are to be reviewed.
 
-        Short lines are judged after each change, long ones after as many as pay for it.
+        Short queues are reviewed after each change, long ones after a number of changes that is
+        proportional to their length.
         """
         self._changes += 1
         if self._changes * REVIEWS_PER_CHANGE < len(self):
--- a/indigoworks/gateway/placement_queues.py
+++ b/indigoworks/gateway/placement_queues.py
@@ -1,4 +1,4 @@
-"""All that waits for places, by what it waits for."""
+"""Waiting requests of all services, by what they wait for."""
 
 from collections.abc import Iterable
 
@@ -8,14 +8,14 @@
 
 
 class PlacementQueues:
-    """A queue for each service, one for each owner of keys, and the requests without an owner."""
+    """Holds a queue per service, one per owner of keys, and the requests without a ready owner."""
 
     def __init__(self) -> None:
         self._queues: dict[tuple[str, str | None], PlacementQueue] = {}
         self._ownerless: dict[str, dict[WaitingRequest, None]] = {}
 
     def add(self, entry: WaitingRequest, owner: ServerRecord | None) -> None:
-        """Put a request into the queue of its key's owner or of its service."""
+        """Add a request to the queue of its key's owner or of its service."""
         if entry.key is not None and owner is None:
             self._ownerless.setdefault(entry.service, {})[entry] = None
             return
@@ -26,7 +26,7 @@
         queue.push(entry)
 
     def remove(self, entry: WaitingRequest) -> None:
-        """Take out a request that waits no longer."""
+        """Remove a waiting request."""
         queue = entry.queue
         if queue is None:
             del self._ownerless[entry.service][entry]
@@ -35,18 +35,18 @@
         self.drop_if_idle(queue)
 
     def move_to_end(self, entry: WaitingRequest) -> None:
-        """Let a request without an owner be looked at after all others of its service."""
+        """Move a request without an owner behind all others of its service."""
         ownerless = self._ownerless.get(entry.service, {})
         if entry in ownerless:
             ownerless[entry] = ownerless.pop(entry)
 
     def drop_if_idle(self, queue: PlacementQueue) -> None:
-        """Forget a queue in which nothing waits, and of which nothing is at work."""
+        """Drop a queue without waiting requests and without placed ones in progress."""
         if queue.is_idle():
             self._queues.pop((queue.service, queue.server_id), None)
 
     def is_empty(self) -> bool:
-        """Tell whether nothing waits, and nothing that was placed is at work."""
+        """Return whether no request waits, and none that was placed is in progress."""
         return not self._queues and not any(self._ownerless.values())
 
     def all(self) -> list[PlacementQueue]:
@@ -62,5 +62,5 @@
         return [entry for entries in self._ownerless.values() for entry in entries]
 
     def ownerless(self, service: str) -> Iterable[WaitingRequest]:
-        """Return the requests of a service without an owner, the one to look at first first."""
+        """Return the requests of a service without an owner, in the order to check them."""
         return self._ownerless.get(service, {})
--- a/indigoworks/gateway/placer.py
+++ b/indigoworks/gateway/placer.py
@@ -1,4 +1,4 @@
-"""What finds a place at a server for each request."""
+"""Protocol of the objects that assign requests to servers."""
 
 from typing import Protocol
 
@@ -12,21 +12,21 @@
 
 
 class Placer(Protocol):
-    """Gives each request a server with room, or says why there is none."""
+    """Assigns each request to a server with capacity, or refuses it."""
 
     async def place(self, entry: WaitingRequest) -> Placement:
-        """Return a server with room, or why there is none.
+        """Return a server with capacity, or a refusal.
 
-        Whoever gets a server calls `release` when the request has left it. Cancelling withdraws
-        the request.
+        After a placement the caller must call `release` when the request has ended. Cancelling
+        withdraws the request.
         """
         ...
 
     def release(
         self, entry: WaitingRequest, started: RequestStart, answer: ServerResponse | None
     ) -> None:
-        """Take back the place of a request, which it has had since `started`.
+        """Release the server of a request that was sent at `started`.
 
-        :param answer: what came of it; None: its caller left.
+        :param answer: result of the attempt; None if the caller disconnected or it was not sent.
         """
         ...
--- a/indigoworks/gateway/platform_ports.py
+++ b/indigoworks/gateway/platform_ports.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of the platform that it runs on."""
+"""Interfaces to the platform that a gateway runs on."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,14 +21,15 @@
 
 @dataclass(frozen=True)
 class PlatformPorts:
-    """Ports and translations; the platform's own names stay behind them.
+    """Clients of the platform's services, and parsers of its formats.
 
-    :ivar configuration_table: table and key of the operator's configuration (empty part).
-    :ivar read_evacuated_zone: the zone that a row of that table evacuates, by the row's key; None:
-        another row. The zone is in use again once the row is removed.
-    :ivar read_server_word: reads the header in which a server tells its load; None: unreadable.
-    :ivar read_server_notice: reads what a server asks for from status and headers of an answer.
-    :ivar servers_table: table in which servers record themselves (empty part).
+    :ivar configuration_table: table of the operator's configuration (empty part).
+    :ivar configuration_key: key of its row.
+    :ivar read_evacuated_zone: returns the zone that a row of that table evacuates, by its key;
+        None for other rows. The zone is in use again once the row is removed.
+    :ivar read_server_word: parses the header with a server's load report; None if unreadable.
+    :ivar read_server_notice: parses a server's notice from status and headers of a response.
+    :ivar servers_table: table in which servers register themselves (empty part).
     """
 
     names: HeaderNames
--- a/indigoworks/gateway/process_signals.py
+++ b/indigoworks/gateway/process_signals.py
@@ -1,4 +1,4 @@
-"""What signals do to a running gateway process."""
+"""Signal handlers of a gateway process."""
 
 import asyncio
 import signal
@@ -6,10 +6,10 @@
 
 
 def install_signal_handlers(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Let SIGTERM and SIGINT stop the process, and SIGHUP read its settings again.
+    """Make SIGTERM and SIGINT stop the process, and SIGHUP reload its settings.
 
-    The program blocks SIGHUP while it starts: one that has come since then is taken now. Its
-    default action would have ended the process.
+    The program blocks SIGHUP during startup, since the default action would end the process. A
+    SIGHUP that arrived meanwhile is delivered now.
     """
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop)
--- a/indigoworks/gateway/queue_refusals.py
+++ b/indigoworks/gateway/queue_refusals.py
@@ -1,28 +1,28 @@
-"""Refusals of requests that wait for a place."""
+"""Refusals of requests that cannot be placed."""
 
 from indigoworks.gateway.candidate_load import CandidateLoad
 from indigoworks.gateway.owner_lookup import Owner, OwnerState
 from indigoworks.gateway.refusal import Refusal, RefusalReason
 
 SERVER_BACK_S = 0.5
-"""Assumed time until a service without any server has one again: a server that starts is listed
-within about half a heartbeat."""
+"""Assumed time until a service without servers has one again: a starting server is listed within
+about half a heartbeat."""
 
 MIN_RETRY_AFTER_S = 0.05
 
 BROKER_BACK_S = 0.5
-"""Assumed time until a broker answers where none does: another one is asked after so long."""
+"""Assumed time until a broker answers after none did: another one is asked by then."""
 
 
 def no_server() -> Refusal:
-    """Refuse a request to a service without a server that it may go to."""
+    """Refuse a request whose service has no usable server."""
     return Refusal(RefusalReason.NO_SERVER, SERVER_BACK_S)
 
 
 def no_owner(owner: Owner, left_s: float) -> Refusal:
-    """Refuse a request whose key has no owner that it may go to.
+    """Refuse a request whose key has no ready owner.
 
-    :param left_s: seconds until the key is likely to be served again.
+    :param left_s: expected seconds until the key is served again.
     """
     if owner.state is OwnerState.RESTING and owner.server is not None:
         return resting(owner.server.server_id, left_s)
@@ -33,13 +33,13 @@
 
 
 def resting(server_id: str, left_s: float) -> Refusal:
-    """Refuse a request whose server, or each server that may run it, rests for `left_s` yet.
+    """Refuse a request whose only possible servers rest for another `left_s`.
 
-    All who are refused meanwhile come back at the end of the rest. Told to come within 0.3 s after
-    it they were refused 13 % less often, and served 5 % later in the mean (8 gateways, 6 servers
-    that rested for 2 s, 60 requests a second, three seeds): they queue here as well as there.
+    All refused callers retry when the rest ends. Spreading retries over the next 0.3 s gave 13 %
+    fewer refusals, but served requests 5 % later on average (8 gateways, 6 servers that rested for
+    2 s, 60 requests a second, three seeds): requests queue here as well as at the callers.
 
-    :param server_id: the server; empty: any of several.
+    :param server_id: the server; empty if any of several could run it.
     """
     return Refusal(
         RefusalReason.SERVER_RESTS,
@@ -50,17 +50,17 @@
 
 
 def paced_by_broker(server_id: str) -> Refusal:
-    """Refuse a request that only the broker of its server may let go there.
+    """Refuse a request that only the broker of its rate-limited server may place.
 
-    :param server_id: the owner of its key; empty: any server may have run it.
+    :param server_id: the owner of its key; empty if any server could run it.
     """
     return limited(server_id, BROKER_BACK_S)
 
 
 def limited(server_id: str, left_s: float) -> Refusal:
-    """Refuse a request whose server takes only so many a second, the next one in `left_s`.
+    """Refuse a request whose rate-limited server may get its next request in `left_s`.
 
-    :param server_id: the server; empty: any of several.
+    :param server_id: the server; empty if any of several could run it.
     """
     return Refusal(
         RefusalReason.SERVER_LIMITED,
@@ -71,9 +71,9 @@
 
 
 def overload(server_id: str, load: CandidateLoad, ahead: int) -> Refusal:
-    """Refuse a request before which `ahead` others go.
+    """Refuse a request that would wait too long behind `ahead` others.
 
-    :param server_id: the owner of its key; empty: any server may have run it.
+    :param server_id: the owner of its key; empty if any server could run it.
     """
     wait_s = load.wait_s(ahead)
     is_limited = load.rate_per_s is not None
--- a/indigoworks/gateway/queue_timers.py
+++ b/indigoworks/gateway/queue_timers.py
@@ -1,4 +1,4 @@
-"""Looks at queues again when a server's next turn comes."""
+"""Timers that serve a queue when the rate limit of its servers permits a request."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 
 
 class QueueTimers:
-    """Keeps one timer a queue at most, for the earliest turn that was asked for.
+    """Keeps at most one timer per queue, for the earliest requested time.
 
-    :param look: looks at a queue.
+    :param on_due: serves a queue.
     """
 
-    def __init__(self, look: Callable[[PlacementQueue], None]) -> None:
-        self._on_due = look
+    def __init__(self, on_due: Callable[[PlacementQueue], None]) -> None:
+        self._on_due = on_due
         self._timers: dict[PlacementQueue, asyncio.TimerHandle] = {}
 
     def schedule(self, queue: PlacementQueue, after_s: float) -> None:
-        """Look at a queue in `after_s` seconds, unless that comes earlier in any case."""
+        """Call `on_due` for a queue in `after_s` seconds, unless an earlier call is scheduled."""
         loop = asyncio.get_running_loop()
         known = self._timers.get(queue)
         if known is not None:
