--- a/indigoworks/gateway/platform_subsystem.py
+++ b/indigoworks/gateway/platform_subsystem.py
@@ -1,4 +1,4 @@
-"""Follows what the platform says: configuration and servers."""
+"""Follows the platform's tables: configuration, evacuations and servers."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,47 +18,47 @@
 from indigoworks.servers.server_list import ServerList
 
 FEED_WAIT_S = 10.0
-"""Longest wait of one step of the other feeds; they are asked anew when that of servers fails, and
+"""Longest poll of the feeds other than that of servers; they are reread when that feed fails, and
 when a peer is ahead."""
 
 LARGE_GROUP_FEED_WAIT_S = 25.0
-"""The same of the configuration's feed in a large group, for who asks a relay, where a question
-that waits costs nothing and ends when the relay has failed, and for who has none to ask: computed,
-195 gateways make 8 calls a second that way, and 20 with the shorter wait."""
+"""Longest poll of the configuration feed in a large group, for gateways that poll a relay, where a
+waiting poll costs nothing and ends when the relay fails, and for gateways that have no relay: 195
+gateways make 8 calls a second with it, and 20 with the shorter poll (computed)."""
 
 RELAY_FEED_WAIT_S = 1.0
-"""The same at a relay. An answer of the store that is lost leaves all who ask the relay without the
-change, so that no peer is ahead of them: 22 s with the longest wait (simulated zone, one answer
-lost), and 2 s at most with this one, of the 2 s and more in which it must be in force."""
+"""Longest poll of the configuration feed at a relay. If a response of the store is lost, no gateway
+behind the relay gets the change, so none sees a peer ahead. With the longest poll that lasted 22 s
+(simulated zone, one lost response), with this one at most 2 s, of the 2 s and more in which a
+configuration must be in force."""
 
 CONFIGURATION_PACE_SHARE = 0.3
-"""Shortest time from a configuration to the next question for one in a large group, as a share of
-the time after which it must be in force. Of configurations that come every third of a second each
-gateway then reads the newest alone: computed, of 12 within 4 s at most 8, where each was read
-before."""
+"""Shortest time from a configuration to the next poll for one in a large group, as a share of the
+time after which it must be in force. If configurations arrive three times a second, a gateway then
+reads only the newest: at most 8 of 12 within 4 s (computed), where it would read each without."""
 
 RELAYED_PACE_SHARE = 0.1
-"""The same at a relay and at who asks one: two such pauses stand one behind the other, and only
-relays call the store. Of 25 configurations of 2,533 routes that came each 0.08 s the last to be in
-force was so after 1.27 s with it, 1.97 s with the longer one (16 simulated gateways on links of
-5 Mbit/s, 2 on 100)."""
+"""The same share at relays and at gateways behind them: the two pauses add up, and only relays call
+the store. When 25 configurations of 2,533 routes arrived at intervals of 0.08 s, the last was in
+force everywhere after 1.27 s with it, 1.97 s with the longer pause (16 simulated gateways on links
+of 5 Mbit/s, 2 on 100)."""
 
 SERVERS_PACE_SHARE = 0.1
 MAX_SERVERS_PACE_S = 0.2
-"""Shortest time from rows of the servers to the next question for them, as a share of the time that
-leaving servers leave, and at most: at the start of all servers their entries come one by one."""
+"""Shortest time from rows of servers to the next poll for them, as a share of the drain time, and
+its upper bound: when all servers start, their entries arrive one by one."""
 
 
 class PlatformSubsystem:
-    """Two followers: one of the configuration, one of the list of servers.
-
-    :ivar operator_row_version: version of the newest row of the operator that was applied here.
-    :param probe_wait_s: returns the longest wait of a step of the feed of servers, which probes the
-        path to the store for all feeds.
-    :param is_large_group: tells whether there are so many gateways that calls to the store are to
-        be spared.
-    :param is_relayed: tells whether this gateway is a relay or asks one.
-    :param is_relay: tells whether others ask this gateway.
+    """Follows the operator's table (configuration, evacuations) and the table of servers.
+
+    :ivar operator_row_version: version of the newest operator row applied here.
+    :param probe_wait_s: returns the longest poll of the feed of servers, which probes the path to
+        the store for all feeds.
+    :param is_large_group: returns whether there are so many gateways that calls to the store must
+        be limited.
+    :param is_relayed: returns whether this gateway is a relay or polls one.
+    :param is_relay: returns whether other gateways poll this one.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         ports.health.eras.on_new(self._begin_era)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Go by what of `settings` can change in a running process."""
+        """Apply the settings that can change in a running process."""
         self.servers.set_heartbeat(settings.server_heartbeat_s)
         self._drain_s = settings.drain_s
         self._configuration_apply_s = settings.configuration_apply_s
@@ -129,25 +129,25 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether configuration and servers have been read."""
+        """Return whether configuration and servers have been read."""
         return self._has_read_servers and self.configurations.current() is not None
 
     def is_keyed(self, service: str) -> bool:
-        """Tell whether the servers of a service own keys."""
+        """Return whether the servers of a service own keys."""
         configuration = self.configurations.current()
         known = None if configuration is None else configuration.services.get(service)
         return known is not None and known.is_keyed
 
     def operator_position(self) -> StoreVersion:
-        """Return the version up to which all rows of the operator are known here."""
+        """Return the version up to which all operator rows are known here."""
         return self.followers[0].version
 
     def end_stale_evacuations(self) -> None:
-        """End what was kept through a new era of the store and was not written again."""
+        """End evacuations kept across a new era of the store that were not written again."""
         self.servers.evacuations.end_kept(self._written_zones)
 
     def _begin_era(self) -> None:
-        """Read all anew; the newest configuration and the evacuations stay in force meanwhile."""
+        """Reread all tables; the newest configuration and evacuations stay in force meanwhile."""
         self.servers.evacuations.keep_all()
         for follower in self.followers:
             follower.request_reread()
@@ -179,8 +179,8 @@
     def _take_configuration(self, rows: Sequence[Row]) -> None:
         """Put the newest readable configuration of `rows` in force.
 
-        The others are not read: a feed that is behind brings every version, and reading one of
-        2,500 routes takes a small machine 0.04 s (between two versions of one answer).
+        The others are not parsed: a feed that is behind delivers every version, and parsing 2,500
+        routes takes 0.04 s on a small machine (measured between two versions of one response).
         """
         written = [each for each in rows if each.key == self._ports.configuration_key]
         for row in sorted(written, key=lambda each: each.version, reverse=True):
@@ -244,7 +244,7 @@
         reason = str(result.unwrap_err())
         if self._unreadable.get(row.key) == reason:
             return
-        # Once for each cause: a server writes its entry again about every second.
+        # Log each cause once: a server rewrites its entry about every second.
         self._unreadable[row.key] = reason
         log_message(
             message_type="server:entry_refused",
--- a/indigoworks/gateway/reachability_monitor.py
+++ b/indigoworks/gateway/reachability_monitor.py
@@ -1,4 +1,4 @@
-"""Finds out whether a silent server can be reached."""
+"""Checks whether silent servers can be reached."""
 
 import asyncio
 
@@ -11,24 +11,24 @@
 from indigoworks.servers.server_source import ServerSource
 
 MIN_SILENCE_S = 0.3
-"""A server is not checked before it has been silent for so long."""
+"""Shortest silence after which a server is checked."""
 
 SILENCE_FACTOR = 4.0
-"""Nor before so many times the measured time of a request."""
+"""Shortest silence before a check as a multiple of the measured service time."""
 
 CONNECT_TIMEOUT_S = 0.25
 CHECK_PAUSE_S = 0.3
-"""Pause between checks of a server that is out of reach."""
+"""Pause between checks of an unreachable server."""
 
 FRESH_S = 0.25
-"""Age up to which an earlier check still counts."""
+"""Age up to which the last contact still counts."""
 
 
 class ReachabilityMonitor:
-    """Opens a connection to a server that was silent for too long.
+    """Opens a test connection to a server that has been silent for too long.
 
-    A server is out of reach when two connections in a row do not come about. It is then checked
-    until one does or it has left the list.
+    A server is unreachable after two failed connections in a row. It is then checked until a
+    connection succeeds or it has left the server list.
     """
 
     def __init__(
@@ -51,14 +51,15 @@
         return max(MIN_SILENCE_S, SILENCE_FACTOR * self._server_stats.service_time_s(server))
 
     def report_connect_failure(self, server: ServerRecord) -> None:
-        """Check a server to which no connection came about."""
+        """Mark a server as unreachable after a failed connection, and start to check it."""
         if not self._server_stats.is_down(server.server_id):
             self._set_down(server)
 
     async def has_responded_since(self, server: ServerRecord, since_s: float) -> bool:
-        """Tell whether a server has answered or taken a connection after `since_s`, or does now.
+        """Return whether a server has answered or accepted a connection after `since_s`, or does
+        now.
 
-        What it did before says nothing: this is asked of a server that may just have ended.
+        Earlier contact does not count: the server may just have crashed.
         """
         while not self._server_stats.is_down(server.server_id):
             if self._last_contact_s(server) >= since_s:
@@ -67,7 +68,7 @@
         return False
 
     async def is_reachable(self, server: ServerRecord) -> bool:
-        """Tell whether a server that has been silent can be reached."""
+        """Return whether a silent server can be reached; checks it unless the result is fresh."""
         if self._clock.now() - self._last_contact_s(server) < FRESH_S:
             return True
         if self._server_stats.is_down(server.server_id):
@@ -75,14 +76,14 @@
         return await self._check_now(server)
 
     def _last_contact_s(self, server: ServerRecord) -> float:
-        """Return when a server last answered or took a connection."""
+        """Return when a server last answered or accepted a connection."""
         return max(
             self._server_stats.last_response_s(server.server_id),
             self._reached_s.get(server.server_id, float("-inf")),
         )
 
     async def _check_now(self, server: ServerRecord) -> bool:
-        """Check a server, together with whoever asks meanwhile."""
+        """Check a server; concurrent callers share one check."""
         check = self._checks.get(server.server_id)
         if check is None:
             check = asyncio.ensure_future(self._check(server))
--- a/indigoworks/gateway/refusal.py
+++ b/indigoworks/gateway/refusal.py
@@ -1,11 +1,11 @@
-"""Why a request is refused, and when to come back."""
+"""Refusals of requests: the reason, and when to retry."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class RefusalReason(Enum):
-    """Causes of a refusal; the request has not run and never will."""
+    """Reasons of a refusal; the request has not run and never will."""
 
     NO_CONFIGURATION = "no_configuration"
     CONFIGURATION_BEHIND = "configuration_behind"
@@ -17,22 +17,22 @@
     NOT_SENT = "not_sent"
     NO_TIME = "no_time"
     SERVER_RESTS = "server_rests"
-    """The server that it is for, or each that may run it, asked for no request for a while."""
+    """Each server that could run it asked for a rest: no requests for a while."""
     SERVER_LIMITED = "server_limited"
-    """The server that it is for, or each that may run it, takes only so many requests a second."""
+    """Each server that could run it has a rate limit."""
     SUSPECT = "suspect"
-    """A server ended under a try of it, and another try is under way or about to be."""
+    """A server crashed under an attempt of it, and another attempt is in flight or waiting."""
     QUARANTINED = "quarantined"
-    """Servers ended under it, one after the other."""
+    """Several servers crashed under it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A refusal with the seconds after which a repeat may succeed, and what decided it.
+    """A refusal, the seconds after which a retry may succeed, and the data behind the decision.
 
-    :ivar server_id: the server that the request would have gone to; empty: none in particular.
-    :ivar in_flight: requests in flight there, from all gateways.
-    :ivar expected_s: seconds until an answer was expected.
+    :ivar server_id: the server that the request would have gone to; empty if any of several.
+    :ivar in_flight: requests in flight at the candidate servers, from all gateways.
+    :ivar expected_s: seconds until a response was expected.
     """
 
     reason: RefusalReason
--- a/indigoworks/gateway/relay_subsystem.py
+++ b/indigoworks/gateway/relay_subsystem.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that follow the store through relays, and act as one."""
+"""The parts of a gateway that follow the store through a relay, or act as a relay."""
 
 from collections.abc import Callable
 from random import Random
@@ -16,15 +16,14 @@
 from indigoworks.rowstore.probing_store import ProbingStore
 
 RELAY_CONNECTIONS = 5
-"""Connections to a relay: one for each table that is followed, one for a whole reading, and one to
-spare."""
+"""Connections to a relay: one per followed table, one for reading a whole table, and one spare."""
 
 
 class RelaySubsystem:
-    """Builds the choice of a relay, the store behind it, and the server for other gateways.
+    """Builds the relay selection, the store client behind it, and the feed for other gateways.
 
-    :ivar capacity: what this machine offers as relay.
-    :ivar store: to be used in place of the port of the store.
+    :ivar capacity: capacity of this machine as a relay.
+    :ivar store: store client to use instead of the platform's.
     """
 
     def __init__(
--- a/indigoworks/gateway/request_log.py
+++ b/indigoworks/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""One line for each decision on a request, within the bounds of the log."""
+"""Log of the decisions on requests, within the rate limits of the log."""
 
 from eliot import log_message
 
@@ -16,13 +16,13 @@
 FAILURE = LogLevel.WARNING.name
 
 FAILED_STATUS = 500
-"""Statuses from this one on tell of a fault at the server."""
+"""Lowest status that reports a failure of the server."""
 
 
 class RequestLog:
-    """Writes how requests ended, why, and on which knowledge; counts them by the way.
+    """Logs and counts how requests ended, with the reason and the data behind it.
 
-    A line for which `rates` has no room is counted there, and not built.
+    A line over the limit of `rates` is counted as dropped, and not built.
     """
 
     def __init__(
@@ -34,15 +34,15 @@
         self._clock = clock
 
     def answered(self, state: RequestState, answer: ServerResponse) -> None:
-        """The server's answer goes to the caller."""
+        """Record that the server's response goes to the caller."""
         elapsed_s = self._elapsed_s(state.request)
         self._metrics.ended(state.service.name, "answered", str(answer.status), elapsed_s)
-        # What a reader will ask for has the higher bound: faults and late answers.
+        # Failures and late responses have the higher rate limit.
         is_sound = answer.status < FAILED_STATUS and elapsed_s <= state.route.aim_s
         self._write("request:answered", not is_sound, state, status=answer.status)
 
     def refused(self, request: ClientRequest, state: RequestState | None, refusal: Refusal) -> None:
-        """The request has not run; the caller is told when to come back."""
+        """Record that the request has not run, and when the caller may retry."""
         service = "" if state is None else state.service.name
         self._metrics.ended(service, "refused", refusal.reason.value, self._elapsed_s(request))
         fields: dict[str, object] = {
@@ -59,7 +59,7 @@
             self._write("request:refused", True, state, **fields)
 
     def no_route(self, request: ClientRequest, version: int) -> None:
-        """No route of the configuration in force takes the request."""
+        """Record that the configuration in force has no route for the request."""
         self._metrics.ended("", "no_route", "404", self._elapsed_s(request))
         self._write_early(
             "request:no_route",
@@ -70,17 +70,17 @@
         )
 
     def no_key(self, request: ClientRequest, service: str, version: int) -> None:
-        """The servers of the service own keys, and the request names none."""
+        """Record that a request to a keyed service has no key."""
         self._metrics.ended(service, "no_key", "400", self._elapsed_s(request))
         self._write_early("request:no_key", request, service=service, configuration=version)
 
     def attempted(self, state: RequestState, answer: ServerResponse, started_s: float) -> None:
-        """An attempt at a server ended; it has no line of its own."""
+        """Record the duration of an attempt at a server; writes no line."""
         elapsed_s = self._clock.now() - started_s
         self._metrics.attempted(state.service.name, answer.result.value, elapsed_s)
 
     def retried(self, state: RequestState, answer: ServerResponse, is_granted: bool) -> None:
-        """An attempt did not serve the request; the budget allows a repeat, or does not."""
+        """Record that an attempt failed, and whether the retry budget grants a retry."""
         self._metrics.retried(state.service.name, is_granted)
         self._write(
             "request:repeat" if is_granted else "request:no_repeat",
@@ -92,13 +92,13 @@
         )
 
     def lost(self, state: RequestState, detail: str) -> None:
-        """The request may have run, and its answer is lost."""
+        """Record that the response is lost, and that the request may have run."""
         elapsed_s = self._elapsed_s(state.request)
         self._metrics.ended(state.service.name, "lost", detail, elapsed_s)
         self._write("request:lost", True, state, detail=detail)
 
     def cancelled(self, state: RequestState) -> None:
-        """The caller went away."""
+        """Record that the caller disconnected."""
         elapsed_s = self._elapsed_s(state.request)
         self._metrics.ended(state.service.name, "cancelled", "caller", elapsed_s)
         self._write("request:cancelled", True, state)
@@ -113,7 +113,7 @@
         return False
 
     def _write_early(self, message_type: str, request: ClientRequest, **fields: object) -> None:
-        """Write of a request that ended before it had a route and a service."""
+        """Log a request that ended before it had a route and a service."""
         if self._has_room(message_type, True):
             log_message(
                 message_type=message_type,
--- a/indigoworks/gateway/request_metrics.py
+++ b/indigoworks/gateway/request_metrics.py
@@ -4,7 +4,7 @@
 
 
 class RequestMetrics:
-    """Ends of requests by service, outcome and reason, their time, and attempts at servers."""
+    """Finished requests by service, outcome and reason, their duration, and attempts at servers."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._ended = metrics.counter(
@@ -21,14 +21,14 @@
         )
 
     def ended(self, service: str, outcome: str, reason: str, elapsed_s: float) -> None:
-        """Count a request that ended."""
+        """Count a finished request."""
         self._ended.add(service, outcome, reason)
         self._request_s.add(elapsed_s, service, outcome)
 
     def attempted(self, service: str, result: str, elapsed_s: float) -> None:
-        """Count an attempt at a server that ended."""
+        """Record the duration of a finished attempt at a server."""
         self._attempt_s.add(elapsed_s, service, result)
 
     def retried(self, service: str, is_granted: bool) -> None:
-        """Count a repeat that the budget granted or denied."""
+        """Count a retry that the budget granted or denied."""
         self._retries.add(service, "granted" if is_granted else "denied")
--- a/indigoworks/gateway/request_routing.py
+++ b/indigoworks/gateway/request_routing.py
@@ -1,4 +1,4 @@
-"""Which route and service a request has, by the configuration in force."""
+"""Selects route and service of a request by the configuration in force."""
 
 from indigoworks.common.clock import Clock
 from indigoworks.gateway.client_request import ClientRequest
@@ -14,10 +14,10 @@
 
 
 class RequestRouting:
-    """Routes requests when they arrive, and again when they are about to be sent.
+    """Routes requests when they arrive, and again before they are sent.
 
-    A request may wait for half a second and more before it is sent: what is in force by then
-    decides.
+    A request may wait for half a second and more before it is sent; the configuration in force by
+    then applies.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._first_tries = FirstAttempts(clock)
 
     def route(self, request: ClientRequest) -> RequestState | ClientResponse:
-        """Return a request with its route, or its final answer where it has none."""
+        """Return the state of a routed request, or the final response if it has no route."""
         configuration = self._configurations.current()
         if configuration is None:
             return self._refusals.refused(request, RefusalReason.NO_CONFIGURATION)
@@ -44,23 +44,24 @@
         return self._with_service(request, configuration, route, chosen, age_s)
 
     def is_current(self, state: RequestState) -> bool:
-        """Tell whether the configuration in force still leads the request to its service."""
+        """Return whether the configuration in force still routes the request to its service."""
         configuration = self._configurations.current()
         if configuration is None or configuration.version == state.configuration_version:
             return True
         route = configuration.find_route(state.request.host, state.request.path)
-        return route is not None and _leads_to(route, state.service.name)
+        return route is not None and _includes(route, state.service.name)
 
     def has_route(self, state: RequestState) -> bool:
-        """Tell whether the configuration in force has a route for the request."""
+        """Return whether the configuration in force has a route for the request."""
         configuration = self._configurations.current()
         request = state.request
         return configuration is None or bool(configuration.find_route(request.host, request.path))
 
     def route_again(self, state: RequestState) -> ClientResponse | None:
-        """Give a request the route that is in force; returns its final answer where it has none.
+        """Reroute a request by the configuration in force.
 
-        It keeps its service where its route still leads there.
+        Returns the final response if the request has no route. The request keeps its service if
+        the route still includes it.
         """
         configuration = self._configurations.current()
         if configuration is None or configuration.version == state.configuration_version:
@@ -68,7 +69,7 @@
         route = configuration.find_route(state.request.host, state.request.path)
         if route is None:
             return self._refusals.no_route(state.request, configuration.version)
-        is_kept = _leads_to(route, state.service.name)
+        is_kept = _includes(route, state.service.name)
         chosen = state.service.name if is_kept else self._split.choose(route)
         routed = self._with_service(state.request, configuration, route, chosen, 0.0)
         if not isinstance(routed, RequestState):
@@ -93,5 +94,5 @@
         return RequestState(request, route, service, configuration.version, share, first_try_age_s)
 
 
-def _leads_to(route: Route, service_name: str) -> bool:
+def _includes(route: Route, service_name: str) -> bool:
     return any(each.service == service_name and each.weight > 0 for each in route.services)
--- a/indigoworks/gateway/request_sender.py
+++ b/indigoworks/gateway/request_sender.py
@@ -19,47 +19,47 @@
 from indigoworks.servers.server_record import ServerRecord
 
 CONNECT_TIMEOUT_S = 0.3
-"""Longest wait for a new connection: machines are milliseconds apart, and a server whose queue of
-connections is full would only take it seconds later."""
+"""Time-out of a new connection: machines are milliseconds apart, and a server whose listen queue is
+full would accept the connection only seconds later."""
 
 ANSWER_MARGIN_S = 0.03
-"""Time beyond the deadline for a server's own answer to it."""
+"""Time after the deadline in which a server's own time-out response may still arrive."""
 
 MS_PER_S = 1000.0
 
 MISDIRECTED = 421
-"""Status by which a server says that another one was meant, and that it did not run the request."""
+"""Status of a server that did not run a request because it was meant for another server."""
 
 
 ReadNotice = Callable[[int, HTTPHeaders], ServerNotice]
-"""Reads what a server asks for from status and headers of an answer."""
+"""Parses a server's notice from status and headers of a response."""
 
 
 def read_nothing(status: int, headers: HTTPHeaders) -> ServerNotice:
-    """Serve where servers ask for nothing."""
+    """Parser for platforms whose servers send no notices."""
     return NOTHING_ASKED
 
 
 def _ignore_notice(server_id: str, notice: ServerNotice) -> None:
-    """Stand in until somebody wants to know."""
+    """Default of a callback until it is set."""
 
 
 def _ignore_server(server_id: str) -> None:
-    """Stand in until somebody wants to know."""
+    """Default of a callback until it is set."""
 
 
 class RequestSender:
-    """Sends each request once, over a kept or a new connection.
+    """Sends each request once, over a pooled or a new connection.
 
     :param read_word: returns what a server says of its load in its header; None: unreadable.
-    :param read_notice: returns what a server asks for in the head of an answer.
-    :ivar on_notice: called with the id of the server that asks for something, and with that.
-    :ivar on_no_limit: called with the id of a server whose answer names no limit, where
-        `is_limit_known` tells that this is news.
-    :ivar is_held_back: tells of a server whether it asked for no further request by now.
+    :param read_notice: parses a server's notice from the head of a response.
+    :ivar on_notice: called with the id of a server and its notice.
+    :ivar on_no_limit: called with the id of a server whose response states no limit, if
+        `is_limit_known` returns that a limit was known.
+    :ivar is_held_back: returns whether a server has asked for no further requests.
     :ivar opened: connections opened so far.
-    :ivar held_back: requests that had a server and a connection, and were not sent for what the
-        server had asked for meanwhile.
+    :ivar held_back: requests that had a server and a connection, and were not sent because the
+        server had asked for a rest meanwhile.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
     async def send(
         self, request: ClientRequest, server: ServerRecord, deadline_s: float
     ) -> ServerResponse:
-        """Send `request` and wait for the answer until `deadline_s` on the clock."""
+        """Send `request`, and wait for the response until the clock reads `deadline_s`."""
         pool = self._pool(server)
         connection = pool.acquire()
         if connection is None:
@@ -95,8 +95,8 @@
             left_s = deadline_s - self._clock.now()
             if left_s <= 0 or not await connection.connect(min(left_s, CONNECT_TIMEOUT_S)):
                 return ServerResponse(ExchangeResult.NOT_SENT, detail="connect")
-        # Every request passes here last: since the server was chosen for it, by whatever way, it
-        # may have asked for rest in its answer to another one.
+        # This is the last check before sending: the server may have asked for a rest in another
+        # response since it was selected.
         if self.is_held_back(server.server_id):
             connection.abort()
             self.held_back += 1
@@ -109,18 +109,18 @@
         return answer
 
     def forget(self, server_id: str) -> None:
-        """Close the idle connections to a server that left."""
+        """Close the idle connections to a server that has left."""
         pool = self._pools.pop(server_id, None)
         if pool is not None:
             pool.close()
 
     def close_expired(self) -> None:
-        """Close connections that rested too long."""
+        """Close connections that have been idle for too long."""
         for pool in self._pools.values():
             pool.close_expired()
 
     def known_servers(self) -> list[str]:
-        """Return the servers that have connections."""
+        """Return the ids of the servers that have a connection pool."""
         return list(self._pools)
 
     async def _exchange(
@@ -130,7 +130,7 @@
         server: ServerRecord,
         deadline_s: float,
     ) -> ServerResponse | None:
-        """Return the answer; None where the time ran out."""
+        """Return the result of the exchange; None if the deadline passed."""
         left_s = deadline_s - self._clock.now()
         headers = self._headers(request, server, left_s)
         try:
@@ -161,7 +161,7 @@
         notice = self._read_notice(status, headers)
         if notice is NOTHING_ASKED and not self.is_limit_known(server_id):
             return
-        # Another server may have taken the address of the one that is gone.
+        # Another server may use the address of a server that has left.
         server_id = headers.get(self._names.answering_server_id) or server_id
         if notice is not NOTHING_ASKED:
             self.on_notice(server_id, notice)
--- a/indigoworks/gateway/response_collector.py
+++ b/indigoworks/gateway/response_collector.py
@@ -1,4 +1,4 @@
-"""Collects one answer of a server."""
+"""Collects one response of a server."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,21 +6,21 @@
 from tornado.httputil import HTTPHeaders, HTTPMessageDelegate, RequestStartLine, ResponseStartLine
 
 INFORMATIONAL_LIMIT = 200
-"""Statuses below this announce a later answer."""
+"""Statuses below this are informational: the final response follows."""
 
 HeadListener = Callable[[int, HTTPHeaders], None]
-"""Takes status and headers of an answer as soon as they have arrived."""
+"""Called with status and headers of a response as soon as they have arrived."""
 
 
 def ignore_head(status: int, headers: HTTPHeaders) -> None:
-    """Serve where nobody wants to know heads."""
+    """Default listener, which does nothing."""
 
 
 class ResponseCollector(HTTPMessageDelegate):
-    """Receives the parts of one answer from the HTTP library.
+    """Receives the parts of one response from the HTTP library.
 
-    :param on_head: is told of the head also where the rest of the answer never comes.
-    :ivar finished: done when the whole answer was seen.
+    :param on_head: called with the head, even if the rest of the response never arrives.
+    :ivar finished: done when the response is complete.
     """
 
     def __init__(self, on_head: HeadListener = ignore_head) -> None:
@@ -34,7 +34,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take status and headers."""
+        """Store status and headers."""
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < INFORMATIONAL_LIMIT:
             return
@@ -44,37 +44,37 @@
         self._on_head(start_line.code, headers)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Store a part of the body."""
         self._chunks.append(chunk)
 
     def finish(self) -> None:
-        """Take note of the end of the answer."""
+        """Mark the response as complete."""
         if self.status and not self.finished.done():
             self.finished.set_result(None)
 
     def on_connection_close(self) -> None:
-        """Take note of nothing: the reading ends without a finish."""
+        """Do nothing: reading ends without a call of `finish`."""
 
     @property
     def body(self) -> bytes:
-        """Return what came of the body."""
+        """Return the body received so far."""
         return b"".join(self._chunks)
 
     @property
     def has_known_end(self) -> bool:
-        """Tell whether the answer said where it ends, rather than ending with its connection."""
+        """Return whether the response is framed, not ended by the close of its connection."""
         is_framed = "Content-Length" in self.headers or "Transfer-Encoding" in self.headers
         return is_framed or self.status in (204, 304)
 
     @property
     def keeps_connection(self) -> bool:
-        """Tell whether the server takes another request on this connection."""
+        """Return whether the server accepts another request on this connection."""
         is_closing = self.headers.get("Connection", "").lower() == "close"
         return self.has_known_end and self._version == "HTTP/1.1" and not is_closing
 
     @property
     def keep_alive_s(self) -> float | None:
-        """Return the seconds for which the server keeps the connection; None: it does not say."""
+        """Return the keep-alive time-out that the server states; None if it states none."""
         for part in self.headers.get("Keep-Alive", "").split(","):
             name, _, value = part.strip().partition("=")
             if name == "timeout" and value.isdecimal():
--- a/indigoworks/gateway/server_rate_limiter.py
+++ b/indigoworks/gateway/server_rate_limiter.py
@@ -1,4 +1,4 @@
-"""How many requests a second servers get that bear or take only so many."""
+"""Limits the rate of requests to cold servers and to servers that state a limit."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -8,33 +8,34 @@
 from indigoworks.servers.server_record import ServerRecord
 
 BURST = 2
-"""Requests that may go at once after a pause: callers come by chance, and with one at a time every
-second of a pair would wait. Two brokers with two each stay within the users' slack of five."""
+"""Requests that may be sent at once after a pause: arrivals are random, and with a burst of one the
+second request of each pair would wait. Two brokers with two each stay within the users' slack of
+five."""
 
 MAX_BROKERS = 2
-"""So many brokers may spend a whole rate each: two, whose lists of members differ."""
+"""Brokers that may each spend the whole rate: two, while their member lists differ."""
 
 ROUNDING_S = 1e-6
-"""Differences of clock readings below this are errors of rounding."""
+"""Differences of clock readings below this are rounding errors."""
 
 
 class ServerRateLimiter:
-    """Paces the requests to cold servers, and to those that name a limit.
+    """Issues permits for requests to rate-limited servers.
 
-    Both rates are sums over all gateways. One gateway spends each of them: the broker of the
-    server's service and zone, which all others ask, in small groups too, and by key where its
-    servers own keys. Whoever is no broker sends such a server nothing of its own accord.
+    A rate applies to all gateways together, so a single gateway spends it: the broker of the
+    server's service and zone. All other gateways request permits from the broker, also in small
+    groups and for requests by key, and send such a server nothing on their own.
 
-    Cold servers of keyed services are left out: their owner is the only server that can answer, and
-    the leader gives cold ones no keys.
+    Cold servers of keyed services are not limited: the owner is the only server that can answer,
+    and the leader gives cold servers no keys.
 
-    :param is_keyed: tells whether the servers of a service own keys.
-    In a cut each part of the group has a broker of its own. Each spends the part of a rate that its
-    gateways are of half of the group, so that all together spend twice the rate at most, as two
-    brokers do whose lists differ.
+    In a network partition each side has its own broker. Each spends the rate times the ratio of its
+    gateways to half of the group, at most the whole rate, so that all sides together spend at most
+    twice the rate, as two brokers with different member lists do.
 
-    :param zone: of the servers that this process paces as their broker; None: it paces none.
-    :param heard_share: returns the share of the group that this process hears.
+    :param is_keyed: returns whether the servers of a service own keys.
+    :param zone: zone of the servers whose broker this process is; None if it is no broker.
+    :param heard_share: returns the share of the group from which this process receives reports.
     """
 
     def __init__(
@@ -54,55 +55,55 @@
         self._heard_share = heard_share
         self._next_s: dict[str, float] = {}
 
-    # ---- questions ----
+    # ---- queries ----
 
     def has_rate_limits(self) -> bool:
-        """Tell whether any server may be bound to a rate: a quick look."""
+        """Return whether any server may have a rate limit (a cheap check)."""
         return self._limits.has_any() or self._cold.has_any()
 
     def is_limited(self, server: ServerRecord) -> bool:
-        """Tell whether the server may get requests at its rate only."""
+        """Return whether the server has a rate limit."""
         return self._rate_per_s(server) is not None
 
     def is_paced_elsewhere(self, server: ServerRecord) -> bool:
-        """Tell whether a server is bound, and paced by another process."""
+        """Return whether a server is rate-limited by another process."""
         return self.is_limited(server) and server.zone != self._zone
 
     def any_paced_elsewhere(self, servers: Iterable[ServerRecord]) -> bool:
-        """Tell whether another process paces any of these servers."""
+        """Return whether another process rate-limits any of these servers."""
         return self.has_rate_limits() and any(map(self.is_paced_elsewhere, servers))
 
     def has_permit(self, server: ServerRecord) -> bool:
-        """Tell whether a request may go to the server now, as far as its rate goes."""
+        """Return whether the rate limit permits this process a request to the server now."""
         return not self.is_paced_elsewhere(server) and self.permit_in_s(server) <= 0
 
     def permit_in_s(self, server: ServerRecord) -> float:
-        """Return the time until the next request may go to a server; 0: now."""
+        """Return the time until the rate limit permits the next request; 0 if it does now."""
         rate_per_s = self._rate_per_s(server)
         if rate_per_s is None:
             return 0.0
         pause_s = 1 / rate_per_s
-        # The turn of a request is a pause for each of the BURST earlier ones after the first.
-        turn_s = self._next_permit_s(server, pause_s) - (self._burst() - 1) * pause_s
-        left_s = turn_s - self._clock.now()
+        # A burst allows a request to go earlier by one pause for each request after the first.
+        permit_s = self._next_permit_s(server, pause_s) - (self._burst() - 1) * pause_s
+        left_s = permit_s - self._clock.now()
         return left_s if left_s > ROUNDING_S else 0.0
 
     def total_rate_per_s(self, servers: Sequence[ServerRecord]) -> float | None:
-        """Return the sum of the rates of servers that are all bound; None: one is not."""
+        """Return the sum of the servers' rate limits; None if one has no limit."""
         rates_per_s = [self._rate_per_s(each) for each in servers]
         bound = [each for each in rates_per_s if each is not None]
         return sum(bound) if len(bound) == len(servers) else None
 
     def effective_slots(self, server: ServerRecord, service_s: float) -> float:
-        """Return how many requests, each of which takes `service_s`, the server works on at a time
-        as far as its rate goes."""
+        """Return the concurrency that the server's slots and rate limit allow for requests that
+        take `service_s` each."""
         rate_per_s = self._rate_per_s(server)
         return server.slots if rate_per_s is None else min(server.slots, rate_per_s * service_s)
 
     # ---- changes ----
 
     def consume_permit(self, server: ServerRecord) -> None:
-        """Count a request that is about to go to a server."""
+        """Consume the permit of a request that is about to be sent."""
         rate_per_s = self._rate_per_s(server)
         if rate_per_s is None:
             self._next_s.pop(server.server_id, None)
@@ -118,16 +119,16 @@
     # ---- parts ----
 
     def _rate_per_s(self, server: ServerRecord) -> float | None:
-        """Return the requests a second that go to a server; None: it is not bound."""
+        """Return the rate at which this process may send; None if the server has no limit."""
         rate_per_s = self._group_rate_per_s(server)
         return None if rate_per_s is None else rate_per_s * self._spent_share()
 
     def _spent_share(self) -> float:
-        """Return the share of a rate that this process spends as broker."""
+        """Return the share of a rate that this process may spend as broker."""
         return min(1.0, MAX_BROKERS * self._heard_share())
 
     def _burst(self) -> int:
-        """Return how many requests may go at once; each part of a group has bursts of its own."""
+        """Return how many requests may go at once; each side of a partition has its own burst."""
         return BURST if self._spent_share() == 1.0 else 1
 
     def _group_rate_per_s(self, server: ServerRecord) -> float | None:
@@ -146,10 +147,10 @@
         return PASSED_SHARE * limit.requests_per_s
 
     def _next_permit_s(self, server: ServerRecord, pause_s: float) -> float:
-        """Return when a request may go after which none has gone for a while.
+        """Return the clock reading of the next permit without a burst.
 
-        A server that is new here may have had requests of another broker: it begins with one. After
-        a rise of the rate the next turn is not as far away as at the old one.
+        A server that is new here may have got requests from another broker, so it starts with one
+        permit. After an increase of the rate, the wait is cut to that of the new rate.
         """
         now_s = self._clock.now()
         burst = self._burst()
