--- a/features/steps/admin_fakes.py
+++ b/features/steps/admin_fakes.py
@@ -73,7 +73,7 @@
         content = self.control_state.settings_tree
         return SettingsTree.model_validate_json(content).services if content else ()
 
-    def place_of(self, key):
+    def position_of(self, key):
         return Ok(key_hash(key))
 
     async def change_settings(self, change):
--- a/features/steps/gateway_losses_steps.py
+++ b/features/steps/gateway_losses_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from gateway_story_steps import line
 
-from indigoworks.cli.losses_command import tell_losses
+from indigoworks.cli.losses_command import report_losses
 
 SHOP = {"service": "shop", "servers": ["s-1"], "elapsed_s": 0.4, "waited_s": 0.0, "status": 200}
 LATE = {**SHOP, "level": "WARNING"}
@@ -46,7 +46,7 @@
 
 @when("the gateway losses are told in windows of {window_s:d} s")
 def step_tell(context, window_s):
-    context.losses = tell_losses(context.losses_log, str(window_s)).unwrap()
+    context.losses = report_losses(context.losses_log, str(window_s)).unwrap()
 
 
 @then('the gateway losses count {count:d} request of "{service}" as each of')
@@ -70,17 +70,17 @@
 
 @then("the gateway losses of a log with a sound answer only say that no line tells of any")
 def step_none(context):
-    told = tell_losses(write_log(context, [SOUND]), None).unwrap()
+    told = report_losses(write_log(context, [SOUND]), None).unwrap()
     assert told == "No line tells of a request that was refused, lost or late.\n", told
 
 
 @then("the gateway losses of a missing log are refused with a remedy")
 def step_missing(context):
-    error = tell_losses("no/such/file", None).unwrap_err()
+    error = report_losses("no/such/file", None).unwrap_err()
     assert "standard output" in str(error), error
 
 
 @then("gateway losses in windows of {window_s:d} s are refused with a remedy")
 def step_no_window(context, window_s):
-    error = tell_losses(write_log(context, [SOUND]), str(window_s)).unwrap_err()
+    error = report_losses(write_log(context, [SOUND]), str(window_s)).unwrap_err()
     assert "--window-s" in str(error), error
--- a/features/steps/gateway_story_steps.py
+++ b/features/steps/gateway_story_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from indigoworks.cli.story_command import tell_story
+from indigoworks.cli.story_command import report_story
 
 
 def line(at_s, process, message_type, **fields):
@@ -54,7 +54,7 @@
 
 @when('the gateway story of request "{request_id}" is told')
 def step_tell(context, request_id):
-    context.story = tell_story(request_id, str(context.story_log)).unwrap()
+    context.story = report_story(request_id, str(context.story_log)).unwrap()
 
 
 @then("the gateway story holds the request's lines, its server, its key's range and its leader")
@@ -84,10 +84,10 @@
 
 @then('the gateway story of request "{request_id}" says that no line names it')
 def step_unknown(context, request_id):
-    assert "No line names" in tell_story(request_id, str(context.story_log)).unwrap()
+    assert "No line names" in report_story(request_id, str(context.story_log)).unwrap()
 
 
 @then("the gateway story of a missing log is refused with a remedy")
 def step_missing(context):
-    error = tell_story("r-1", str(context.story_log) + ".gone").unwrap_err()
+    error = report_story("r-1", str(context.story_log) + ".gone").unwrap_err()
     assert error.remedy and "cannot be read" in error.message, error
--- a/indigoworks/admin/__init__.py
+++ b/indigoworks/admin/__init__.py
@@ -1,7 +1,7 @@
 """The administration API."""
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.administration import Administration
 from indigoworks.admin.change_progress import ChangeProgress
 from indigoworks.admin.control_plane import ControlPlane
@@ -12,9 +12,9 @@
 from indigoworks.admin.settings_change import SettingsChange
 
 __all__ = [
-    "AdminAnswer",
     "AdminCall",
     "AdminError",
+    "AdminResponse",
     "Administration",
     "ChangeProgress",
     "ControlPlane",
--- a/indigoworks/admin/admin_operations.py
+++ b/indigoworks/admin/admin_operations.py
@@ -4,12 +4,12 @@
 
 from result import Err, Result
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
 from indigoworks.admin.admin_query import AdminQuery, parse_query, split_path
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.bodies.body import Body
 from indigoworks.admin.control_plane import ControlPlane
-from indigoworks.admin.error_answer import error_answer
+from indigoworks.admin.error_response import error_response
 from indigoworks.admin.errors import AdminError, MethodNotAllowed, UnknownNode
 from indigoworks.admin.ownership_operations import OwnershipOperations
 from indigoworks.admin.route import Route
@@ -34,12 +34,12 @@
         self._settings = settings
         self._ownership = ownership
 
-    async def handle(self, call: AdminCall) -> AdminAnswer:
+    async def handle(self, call: AdminCall) -> AdminResponse:
         """Answer `call`; see docs/API.md for paths and bodies."""
         outcome = await self._outcome(call)
         if isinstance(outcome, Err):
-            return error_answer(outcome.unwrap_err())
-        return AdminAnswer(200, outcome.unwrap().model_dump_json().encode("utf-8"))
+            return error_response(outcome.unwrap_err())
+        return AdminResponse(200, outcome.unwrap().model_dump_json().encode("utf-8"))
 
     async def _outcome(self, call: AdminCall) -> Outcome:
         segments, query_text = split_path(call.path)
--- a/indigoworks/admin/admin_answer.py
+++ b/indigoworks/admin/admin_response.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True)
-class AdminAnswer:
+class AdminResponse:
     """An answer, whichever way it goes.
 
     :ivar status: HTTP status.
--- a/indigoworks/admin/control_plane.py
+++ b/indigoworks/admin/control_plane.py
@@ -33,7 +33,7 @@
         """Return the names of the services in force."""
         ...
 
-    def place_of(self, key: bytes) -> Result[int, AdminError]:
+    def position_of(self, key: bytes) -> Result[int, AdminError]:
         """Return the place of a key in the key space; BadAdminRequest where it can have none."""
         ...
 
--- a/indigoworks/admin/error_answer.py
+++ b/indigoworks/admin/error_response.py
@@ -4,13 +4,13 @@
 from dataclasses import fields
 from typing import Any
 
-from indigoworks.admin.admin_answer import AdminAnswer
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.errors import AdminError, InvalidSettings, SettingsConflict
 
 _BASE_FIELDS = frozenset({"message", "remedy", "retry_after_s"})
 
 
-def error_answer(error: AdminError) -> AdminAnswer:
+def error_response(error: AdminError) -> AdminResponse:
     """Return the JSON answer: kind, message, remedy, retry_after_s, and the kind's own fields."""
     content: dict[str, Any] = {
         "kind": error.kind,
@@ -20,7 +20,7 @@
     }
     content.update(_own_fields(error))
     body = json.dumps(content, ensure_ascii=False).encode("utf-8")
-    return AdminAnswer(error.http_status, body, error.retry_after_s)
+    return AdminResponse(error.http_status, body, error.retry_after_s)
 
 
 def _own_fields(error: AdminError) -> dict[str, Any]:
--- a/indigoworks/admin/http_handlers.py
+++ b/indigoworks/admin/http_handlers.py
@@ -9,10 +9,10 @@
 from prometheus_client import CONTENT_TYPE_LATEST, CollectorRegistry, generate_latest
 from tornado.web import RequestHandler
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.administration import Administration
-from indigoworks.admin.error_answer import error_answer
+from indigoworks.admin.error_response import error_response
 from indigoworks.admin.errors import AdminError
 from indigoworks.admin.health_report import HealthReport
 
@@ -39,8 +39,8 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer a fault of the program as JSON."""
         error = AdminError("The process failed on this request.", "See the log of that process.")
-        answer = error_answer(error)
-        self._write_answer(AdminAnswer(status_code, answer.body))
+        answer = error_response(error)
+        self._write_answer(AdminResponse(status_code, answer.body))
 
     def _path(self) -> str:
         """Return path and query; If-Match becomes the parameter expected_version."""
@@ -51,7 +51,7 @@
         version = condition.strip().removeprefix("W/").strip('"')
         return f"{path}{'&' if '?' in path else '?'}expected_version={quote(version, safe='')}"
 
-    def _write_answer(self, answer: AdminAnswer) -> None:
+    def _write_answer(self, answer: AdminResponse) -> None:
         self.set_status(answer.status)
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
         if answer.retry_after_s > 0:
--- a/indigoworks/admin/ownership_operations.py
+++ b/indigoworks/admin/ownership_operations.py
@@ -46,7 +46,7 @@
             return Err(BadAdminRequest("A key needs its service.", "Give ?service=NAME&key=KEY."))
         if service is not None and service not in (known := self._plane.known_services()):
             return Err(unknown_service(service, known))
-        found = Ok(None) if key is None else self._plane.place_of(key)
+        found = Ok(None) if key is None else self._plane.position_of(key)
         if isinstance(found, Err):
             return found
         place = found.unwrap()
--- a/indigoworks/cli/administration_server.py
+++ b/indigoworks/cli/administration_server.py
@@ -7,7 +7,7 @@
 from tornado.web import Application
 
 from indigoworks.admin.http_handlers import HandlerRule
-from indigoworks.cli.process_part import ProcessPart
+from indigoworks.cli.process_component import ProcessComponent
 from indigoworks.common.address import Address
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
@@ -17,7 +17,9 @@
 class AdministrationServer:
     """Serves administration, metrics and health of a part."""
 
-    def __init__(self, part: ProcessPart, address: Address, rules: Sequence[HandlerRule]) -> None:
+    def __init__(
+        self, part: ProcessComponent, address: Address, rules: Sequence[HandlerRule]
+    ) -> None:
         self._part = part
         self._address = address
         handlers: list[Any] = list(rules)
--- a/indigoworks/cli/commands.py
+++ b/indigoworks/cli/commands.py
@@ -182,9 +182,9 @@
             request_id: id of the request, as its caller sent it.
             log: file that holds the lines of one or several gateways, in any order.
         """
-        from indigoworks.cli.story_command import tell_story
+        from indigoworks.cli.story_command import report_story
 
-        return PendingCommand(lambda: tell_story(request_id, log))
+        return PendingCommand(lambda: report_story(request_id, log))
 
     def losses(self, *, log: str, window_s: str | None = None) -> PendingCommand:
         """Print which requests were refused, lost or late, and why, from the gateways' log lines.
@@ -193,9 +193,9 @@
             log: file that holds the lines of one or several gateways, in any order.
             window_s: length of the windows of the second table, in whole seconds; default: 2.
         """
-        from indigoworks.cli.losses_command import tell_losses
+        from indigoworks.cli.losses_command import report_losses
 
-        return PendingCommand(lambda: tell_losses(log, window_s))
+        return PendingCommand(lambda: report_losses(log, window_s))
 
     def owners_story(self, service: str, key: str, *, log: str) -> PendingCommand:
         """Print how the owner of a key changed, and what speaks against each change.
@@ -205,6 +205,6 @@
             key: number of the key, as the lines on requests name it.
             log: file that holds the lines of one or several gateways, in any order.
         """
-        from indigoworks.cli.owners_story_command import tell_owners_story
+        from indigoworks.cli.owners_story_command import report_owners_story
 
-        return PendingCommand(lambda: tell_owners_story(service, key, log))
+        return PendingCommand(lambda: report_owners_story(service, key, log))
--- a/indigoworks/cli/http_side.py
+++ b/indigoworks/cli/http_endpoint.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 
-class HttpSide(Protocol):
+class HttpEndpoint(Protocol):
     """The HTTP server in front of a part."""
 
     def start(self) -> None:
--- a/indigoworks/cli/losses_command.py
+++ b/indigoworks/cli/losses_command.py
@@ -13,7 +13,7 @@
 """Short enough to tell a loss of a leader from the seconds around it."""
 
 
-def tell_losses(log: str, window_s: object) -> Result[Report, IndigoworksError]:
+def report_losses(log: str, window_s: object) -> Result[Report, IndigoworksError]:
     """Return the table of refused, lost and late requests from a file of log lines.
 
     :param log: path of a file that holds the lines of one or several gateways, in any order.
--- a/indigoworks/cli/owners_story_command.py
+++ b/indigoworks/cli/owners_story_command.py
@@ -9,7 +9,7 @@
 from indigoworks.owners_story.owners_story import OwnersStory, render
 
 
-def tell_owners_story(service: str, key: object, log: str) -> Result[Report, IndigoworksError]:
+def report_owners_story(service: str, key: object, log: str) -> Result[Report, IndigoworksError]:
     """Return how the owner of a key changed, from a file of log lines.
 
     :param key: number of the key.
--- a/indigoworks/cli/process_part.py
+++ b/indigoworks/cli/process_component.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 
-class ProcessPart(Protocol):
+class ProcessComponent(Protocol):
     """A controller or a router."""
 
     async def start(self) -> None:
--- a/indigoworks/cli/run_process.py
+++ b/indigoworks/cli/run_process.py
@@ -6,9 +6,9 @@
 from result import Err, Ok, Result
 
 from indigoworks.cli.errors import AddressUnavailable, ProcessFailed
-from indigoworks.cli.http_side import HttpSide
+from indigoworks.cli.http_endpoint import HttpEndpoint
 from indigoworks.cli.pending_command import Report
-from indigoworks.cli.process_part import ProcessPart
+from indigoworks.cli.process_component import ProcessComponent
 from indigoworks.cli.stop_state import StopState
 from indigoworks.common.address import Address
 from indigoworks.common.errors import IndigoworksError
@@ -16,7 +16,7 @@
 
 
 async def run_process(
-    part: ProcessPart, http: HttpSide, settings: ProcessSettings, stop: StopState
+    part: ProcessComponent, http: HttpEndpoint, settings: ProcessSettings, stop: StopState
 ) -> Result[Report, IndigoworksError]:
     """Start `part` and `http`, wait for a stop signal, and stop both.
 
@@ -41,7 +41,7 @@
     return Ok("") if failure is None else Err(_failed(failure))
 
 
-async def _wait_for_stop(part: ProcessPart, stop: StopState) -> str | None:
+async def _wait_for_stop(part: ProcessComponent, stop: StopState) -> str | None:
     """Wait for a stop signal (None) or for the part's failure (why)."""
     stopping = asyncio.ensure_future(stop.wait())
     failing = asyncio.ensure_future(part.wait_failed())
--- a/indigoworks/cli/story_command.py
+++ b/indigoworks/cli/story_command.py
@@ -8,7 +8,7 @@
 from indigoworks.request_story.request_story import RequestStory, render
 
 
-def tell_story(request_id: str, log: str) -> Result[Report, IndigoworksError]:
+def report_story(request_id: str, log: str) -> Result[Report, IndigoworksError]:
     """Return the story of a request from a file of log lines.
 
     :param log: path of a file that holds the lines of one or several gateways, in any order.
--- a/indigoworks/controller/controller_administration.py
+++ b/indigoworks/controller/controller_administration.py
@@ -2,10 +2,10 @@
 
 from result import Result
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.administration import Administration
-from indigoworks.admin.error_answer import error_answer
+from indigoworks.admin.error_response import error_response
 from indigoworks.admin.errors import AdminOutcomeUnknown, NotLeader
 from indigoworks.common.address import Address
 from indigoworks.controller.retry_timing import LEADER_RETRY_AFTER_S
@@ -36,7 +36,7 @@
         self._operations = operations
         self._own = own
 
-    async def handle(self, call: AdminCall) -> AdminAnswer:
+    async def handle(self, call: AdminCall) -> AdminResponse:
         """Answer a request received over HTTP."""
         return await self._handle(call, hops=0)
 
@@ -49,7 +49,7 @@
         )
         return Frame(admin_reply=reply)
 
-    async def _handle(self, call: AdminCall, hops: int) -> AdminAnswer:
+    async def _handle(self, call: AdminCall, hops: int) -> AdminResponse:
         leader = self._node.status.leader
         is_own = leader is not None and leader.incarnation == self._own.incarnation
         if is_own or call.path.startswith(LOCAL_PATHS):
@@ -59,9 +59,9 @@
         if call.method == "GET":
             # Without a leader, reads return the state last applied on this controller.
             return await self._operations.handle(call)
-        return error_answer(_no_leader())
+        return error_response(_no_leader())
 
-    async def _forward(self, call: AdminCall, leader: Member, hops: int) -> AdminAnswer:
+    async def _forward(self, call: AdminCall, leader: Member, hops: int) -> AdminResponse:
         client = RpcClient(Address(leader.host, leader.control_port))
         request = AdminRequest(method=call.method, path=call.path, body=call.body, hops=hops + 1)
         try:
@@ -71,13 +71,13 @@
         return _to_answer(reply_result)
 
 
-def _to_answer(reply_result: Result[Frame, WireError]) -> AdminAnswer:
+def _to_answer(reply_result: Result[Frame, WireError]) -> AdminResponse:
     if reply_result.is_ok():
         reply = reply_result.unwrap().admin_reply
-        return AdminAnswer(reply.status, reply.body, reply.retry_after_s)
+        return AdminResponse(reply.status, reply.body, reply.retry_after_s)
     if isinstance(reply_result.unwrap_err(), ConnectFailed | RefusedByPeer):
-        return error_answer(_no_leader())
-    return error_answer(
+        return error_response(_no_leader())
+    return error_response(
         AdminOutcomeUnknown(
             "The leader did not answer; the request may have taken effect.",
             "Read the state back before you send it again.",
--- a/indigoworks/controller/controller_control_plane.py
+++ b/indigoworks/controller/controller_control_plane.py
@@ -72,7 +72,7 @@
         content = self._state.to_message().settings_tree
         return SettingsTree.model_validate_json(content).services if content else ()
 
-    def place_of(self, key: bytes) -> Result[int, AdminError]:
+    def position_of(self, key: bytes) -> Result[int, AdminError]:
         """Return the position (hash) of the key in the key space."""
         return Ok(key_hash(key))
 
--- a/indigoworks/gateway/gateway_plane.py
+++ b/indigoworks/gateway/gateway_plane.py
@@ -103,7 +103,7 @@
         configuration = self._configurations.current()
         return () if configuration is None else sorted(configuration.services)
 
-    def place_of(self, key: bytes) -> Result[int, AdminError]:
+    def position_of(self, key: bytes) -> Result[int, AdminError]:
         """Return the key as a number."""
         if key.isdigit() and int(key) < KEY_COUNT:
             return Ok(int(key))
--- a/indigoworks/owners_story/line_doubts.py
+++ b/indigoworks/owners_story/line_doubts.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterator, Sequence
 
-from indigoworks.owners_story.doubt import Doubt
-from indigoworks.owners_story.doubt_kind import DoubtKind
+from indigoworks.owners_story.ownership_doubt import OwnershipDoubt
+from indigoworks.owners_story.ownership_doubt_kind import OwnershipDoubtKind
 from indigoworks.ownership.leader_lease import LEADER_LEASE_S
 from indigoworks.request_story.log_line import LogLine
 
@@ -12,40 +12,44 @@
 BOUND_PROOFS = ("own_bound", "predecessor_bound", "no_bound")
 
 
-def doubts_of(line: LogLine) -> Sequence[Doubt]:
+def doubts_of(line: LogLine) -> Sequence[OwnershipDoubt]:
     """Return what speaks against a line; nothing for one that tells of no passing or order."""
     if line.message_type == PASSED:
         return [*_of_bounds(line), *_of_passing(line), *_of_leader(line)]
     if line.message_type == "order:old_proof":
         return list(_of_leader(line))
     if line.message_type == "server:replaced" and not line.fields.get("by"):
-        return [Doubt(DoubtKind.UNNAMED_SERVER, "nobody is named at the address")]
+        return [OwnershipDoubt(OwnershipDoubtKind.UNNAMED_SERVER, "nobody is named at the address")]
     return ()
 
 
-def _of_bounds(line: LogLine) -> Iterator[Doubt]:
+def _of_bounds(line: LogLine) -> Iterator[OwnershipDoubt]:
     proof = line.fields.get("proof")
     if proof not in BOUND_PROOFS:
         return
     for bound in ("own", "predecessor"):
         left_s = _number(line, f"{bound}_left_s")
         if left_s is not None and left_s > 0:
-            yield Doubt(DoubtKind.BOUND_RUNS, f"by {proof}, {bound} bound has {left_s} s left")
+            yield OwnershipDoubt(
+                OwnershipDoubtKind.BOUND_RUNS, f"by {proof}, {bound} bound has {left_s} s left"
+            )
 
 
-def _of_passing(line: LogLine) -> Iterator[Doubt]:
+def _of_passing(line: LogLine) -> Iterator[OwnershipDoubt]:
     if line.fields.get("proof") == "none":
-        yield Doubt(DoubtKind.NO_PROOF, "the former owner was not ruled out")
+        yield OwnershipDoubt(OwnershipDoubtKind.NO_PROOF, "the former owner was not ruled out")
     unanswered = _number(line, "unanswered")
     if unanswered:
         oldest_s = line.fields.get("oldest_unanswered_s")
-        yield Doubt(DoubtKind.ORDER_UNANSWERED, f"{unanswered:g}, the oldest {oldest_s} s ago")
+        yield OwnershipDoubt(
+            OwnershipDoubtKind.ORDER_UNANSWERED, f"{unanswered:g}, the oldest {oldest_s} s ago"
+        )
 
 
-def _of_leader(line: LogLine) -> Iterator[Doubt]:
+def _of_leader(line: LogLine) -> Iterator[OwnershipDoubt]:
     age_s, state = _number(line, "proof_age_s"), line.fields.get("proof_state")
     if age_s is None or age_s > LEADER_LEASE_S or state != "leads":
-        yield Doubt(DoubtKind.OLD_PROOF, f"proof of {age_s} s, state {state}")
+        yield OwnershipDoubt(OwnershipDoubtKind.OLD_PROOF, f"proof of {age_s} s, state {state}")
 
 
 def _number(line: LogLine, name: str) -> float | None:
--- a/indigoworks/owners_story/doubt.py
+++ b/indigoworks/owners_story/ownership_doubt.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from indigoworks.owners_story.doubt_kind import DoubtKind
+from indigoworks.owners_story.ownership_doubt_kind import OwnershipDoubtKind
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class OwnershipDoubt:
     """A kind of doubt, and the figures that it rests on."""
 
-    kind: DoubtKind
+    kind: OwnershipDoubtKind
     detail: str
--- a/indigoworks/owners_story/doubt_kind.py
+++ b/indigoworks/owners_story/ownership_doubt_kind.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class DoubtKind(Enum):
+class OwnershipDoubtKind(Enum):
     """Reasons to doubt that nobody else held the keys."""
 
     BOUND_RUNS = "bound_runs"
--- a/indigoworks/router/controller_administration.py
+++ b/indigoworks/router/controller_administration.py
@@ -3,9 +3,9 @@
 from eliot import log_message
 from result import Err
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
-from indigoworks.admin.error_answer import error_answer
+from indigoworks.admin.admin_response import AdminResponse
+from indigoworks.admin.error_response import error_response
 from indigoworks.admin.errors import AdminError, AdminOutcomeUnknown, NotLeader
 from indigoworks.common.address import Address
 from indigoworks.router.controller_directory import ControllerDirectory
@@ -35,7 +35,7 @@
         self._group_id = group_id
         self._clients: dict[Address, RpcClient] = {}
 
-    async def handle(self, call: AdminCall) -> AdminAnswer:
+    async def handle(self, call: AdminCall) -> AdminResponse:
         """Answer `call`; errors are returned in the response."""
         for address in self._directory.candidates():
             answered = await self._client(address).call(_frame(call), ADMIN_TIMEOUT_S)
@@ -46,8 +46,8 @@
                 message_type="router:admin_pass_failed", controller=str(address), kind=error.kind
             )
             if not self._may_ask_next(call, error):
-                return error_answer(_outcome_unknown())
-        return error_answer(_no_controller())
+                return error_response(_outcome_unknown())
+        return error_response(_no_controller())
 
     def close(self) -> None:
         """Close the connections to the controllers."""
@@ -67,11 +67,11 @@
     return control_pb2.Frame(admin_request=request)
 
 
-def _answer(frame: control_pb2.Frame) -> AdminAnswer:
+def _answer(frame: control_pb2.Frame) -> AdminResponse:
     if frame.WhichOneof("payload") != "admin_reply":
-        return error_answer(_outcome_unknown())
+        return error_response(_outcome_unknown())
     reply = frame.admin_reply
-    return AdminAnswer(reply.status, reply.body, reply.retry_after_s)
+    return AdminResponse(reply.status, reply.body, reply.retry_after_s)
 
 
 def _outcome_unknown() -> AdminError:
--- a/indigoworks_lab/simulation/workload/operators.py
+++ b/indigoworks_lab/simulation/workload/operators.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
-from indigoworks.admin.admin_answer import AdminAnswer
 from indigoworks.admin.admin_call import AdminCall
+from indigoworks.admin.admin_response import AdminResponse
 from indigoworks.admin.administration import Administration
 from indigoworks_lab.checkers.history.settings_change import SettingsChangeCall
 from indigoworks_lab.simulation.core.simulated_process import SimulatedProcess
@@ -73,7 +73,7 @@
         answer = await self._ask("POST", f"/admin/v1/servers/{server}/drain", b"")
         return answer is not None and answer.status in (200, 202)
 
-    async def _ask(self, method: str, path: str, body: bytes) -> AdminAnswer | None:
+    async def _ask(self, method: str, path: str, body: bytes) -> AdminResponse | None:
         process, administration = self._random.choice(self._nodes())
         asking = process.spawn(administration.handle(AdminCall(method, path, body)))
         done, _ = await asyncio.wait({asking}, timeout=PATIENCE_S)
