--- a/features/steps/gateway_owner_proof_steps.py
+++ b/features/steps/gateway_owner_proof_steps.py
@@ -165,7 +165,7 @@
 
 @then("no two gateway owners held one key")
 def step_no_overlap(context):
-    for keeper in context.proof.keepers._of(SERVICE):
+    for keeper in context.proof.keepers._keepers_of(SERVICE):
         assert not keeper.task.done(), keeper.task
     overlap_s = context.proof.orders.overlap_s()
     assert overlap_s <= 1e-6, f"two held one key for {overlap_s:.2f} s"
--- a/indigoworks/ownership/challenge_delay.py
+++ b/indigoworks/ownership/challenge_delay.py
@@ -6,34 +6,33 @@
 from indigoworks.exchange.peer_directory import PeerDirectory
 from indigoworks.exchange.peer_view import PeerView
 
-RANK_S = 0.15
-"""Time between two challengers that hear each other: a sound store answers a write well within."""
+RANK_DELAY_S = 0.15
+"""Delay between challengers of successive ranks; a healthy store answers a write well within it."""
 
 MAX_RANK = 8
-"""Those behind wait no longer than the one of this rank: all before it may be without the store."""
+"""Processes ranked lower wait no longer: all those before them may have lost the store."""
 
 JITTER_S = 0.15
-"""Challengers of the same rank, which do not hear each other, are spread over so long."""
+"""Random extra delay that spreads challengers of equal rank, which do not hear each other."""
 
-WEAK_S = 0.6
-"""A machine without capacity to spare lets others go first by so much more."""
+WEAK_MACHINE_DELAY_S = 0.6
+"""Extra delay of a machine without spare capacity."""
 
-BACK_OFF_S = 0.25
-"""After a challenge that got no answer or was refused by a busy store, up to so long is added;
-twice as much after the next."""
+BACKOFF_S = 0.25
+"""Longest random backoff after a challenge that the store did not answer or refused because it was
+busy; doubles with each further failure."""
 
-MAX_BACK_OFF_S = 2.0
+MAX_BACKOFF_S = 2.0
 
 
 class ChallengeDelay:
-    """The fittest that is heard goes first, so that seldom two write at once.
+    """Lets the strongest live process challenge first, so that concurrent challenges are rare.
 
-    Nobody appoints a successor: each process ranks itself among the peers it hears, by the capacity
-    of their machines, then by name. A leader grants all ranges of its group again and again, which
-    is more than a small machine can do in a large group; and a slow store that all challenge at
-    once refuses them all.
+    Each process ranks itself among the peers it hears, by the capacity of their machines, then by
+    name. A leader renews the grants of all ranges of its group, which is too much for a small
+    machine in a large group; and a slow store refuses all challenges if all arrive at once.
 
-    :param capacity: what this machine has to spare, in processor cores; 0: nothing.
+    :param capacity: spare capacity of this machine, in processor cores; 0: none.
     """
 
     def __init__(
@@ -47,21 +46,21 @@
         self._failures = 0
 
     def record_outcome(self, is_failed: bool) -> None:
-        """Take the outcome of a challenge; `is_failed`: the store did not decide it."""
+        """Record the outcome of a challenge; `is_failed`: the store did not decide it."""
         self._failures = self._failures + 1 if is_failed else 0
 
     def wait_s(self, lost_node: str) -> float:
         """Return how long to wait before a challenge, in seconds.
 
-        :param lost_node: the leader that is challenged; it may still be heard.
+        :param lost_node: the leader that is challenged; peers may still hear it.
         """
         rank = min(self._rank(lost_node), MAX_RANK)
-        weak_s = WEAK_S if self._is_weak() else 0.0
+        weak_s = WEAK_MACHINE_DELAY_S if self._is_weak() else 0.0
         jitter_s = self._random.uniform(0.0, JITTER_S)
-        return rank * RANK_S + weak_s + jitter_s + self._back_off_s()
+        return rank * RANK_DELAY_S + weak_s + jitter_s + self._backoff_s()
 
     def may_skip_delay(self) -> bool:
-        """Tell whether this machine may lead again at once after a restart."""
+        """Return whether this process may retake its earlier run's leadership without delay."""
         return not self._is_weak()
 
     def _rank(self, lost_node: str) -> int:
@@ -71,12 +70,12 @@
         return sum(1 for node in heard if strength_rank(capacities.get(node, 0.0), node) < own)
 
     def _is_weak(self) -> bool:
-        """Tell whether a stronger machine is known, or none at all yet."""
+        """Return whether this machine has no spare capacity and may not be the strongest."""
         others = list(self._directory.others())
         return self._capacity <= 0 and (not others or any(each.capacity > 0 for each in others))
 
-    def _back_off_s(self) -> float:
+    def _backoff_s(self) -> float:
         if not self._failures:
             return 0.0
-        longest_s = min(BACK_OFF_S * 2 ** (self._failures - 1), MAX_BACK_OFF_S)
+        longest_s = min(BACKOFF_S * 2 ** (self._failures - 1), MAX_BACKOFF_S)
         return self._random.uniform(0.0, longest_s)
--- a/indigoworks/ownership/control_group.py
+++ b/indigoworks/ownership/control_group.py
@@ -1,4 +1,4 @@
-"""Where the rows of a control group lie."""
+"""Partition of the control table that holds a control group's rows."""
 
 from collections.abc import Sequence
 
@@ -9,17 +9,18 @@
 
 
 def part_of(era: int, group_id: int = 0) -> str:
-    """Return the part of the control table that holds a group's rows of one era."""
+    """Return the partition (`part`) of the control table for a group's rows of one era."""
     return f"group-{group_id}" if era == 0 else f"group-{group_id}-era-{era}"
 
 
 class ControlGroup:
-    """A group of keys with one leader; its rows share one part, so that one transaction can
-    condition on the leader and change owners.
+    """A set of services whose keys one leader assigns to servers.
 
-    Each era of the store has a part of its own. Versions are given out again in a new era: a
-    condition of an earlier one could hold by chance, and a write of it may be made seconds later.
-    Neither reaches rows that anybody still goes by.
+    Its rows share one partition: one transaction can check the leader row and change owners.
+
+    Each era of the store has its own partition. The store reuses version numbers in a new era: a
+    condition from an earlier era could match by chance, and a delayed write of that era may still
+    be applied. Neither can affect rows of the current era.
     """
 
     def __init__(self, eras: StoreEras, group_id: int = 0) -> None:
@@ -28,11 +29,11 @@
 
     @property
     def part(self) -> str:
-        """Return the part of the current era."""
+        """Return the partition of the current era."""
         return self.part_in(self.eras.current)
 
     def part_in(self, era: int) -> str:
-        """Return the part of an era."""
+        """Return the partition of an era."""
         return part_of(era, self._group_id)
 
     def transaction(
--- a/indigoworks/ownership/former_era.py
+++ b/indigoworks/ownership/former_era.py
@@ -10,9 +10,9 @@
 class FormerEra:
     """Knowledge of the newest era before the current one.
 
-    :ivar row: the newest known row of a leader.
+    :ivar row: the newest known leader row.
     :ivar is_led: this process led until the end.
-    :ivar is_fresh: the group's rows were followed until the end, but for the time of a hold.
+    :ivar is_fresh: the group's rows were followed until less than a hold before the end.
     """
 
     row: LeaderRow
@@ -20,9 +20,9 @@
     is_fresh: bool
 
     def precedes(self, era: int) -> bool:
-        """Tell whether nothing lies between this era and `era`."""
+        """Return whether this is the era directly before `era`."""
         return self.row.version != NO_VERSION and self.row.version.era == era - 1
 
 
 NO_FORMER_ERA = FormerEra(NO_LEADER, is_led=False, is_fresh=False)
-"""What a process knows that has just begun."""
+"""State of a process that has just started."""
--- a/indigoworks/ownership/group_leader.py
+++ b/indigoworks/ownership/group_leader.py
@@ -1,4 +1,4 @@
-"""What the leader of a control group does."""
+"""The main loop of a control group's leader: grants, table changes and range moves."""
 
 from collections.abc import Callable, Sequence
 
@@ -33,34 +33,33 @@
 from indigoworks.servers.server_source import ServerSource
 
 TICK_S = 0.1
-"""Time between two looks at what has changed."""
+"""Period of the main loop."""
 
-BALANCE_PERIOD_S = 0.3
-"""Time between two decisions on servers that are too busy."""
+OVERLOAD_CHECK_PERIOD_S = 0.3
+"""Time between two checks for overloaded servers."""
 
-EVEN_PERIOD_S = 1.5
-"""Time between two decisions on servers that are merely busier than others."""
+REBALANCE_PERIOD_S = 1.5
+"""Time between two checks for uneven load without overload."""
 
-CLEAN_PERIOD_S = 8.0
-"""Former owners that are ruled out are taken out of the rows so often where nothing else is
-written."""
+CLEANUP_PERIOD_S = 8.0
+"""Shortest time between two writes that only remove ruled-out former owners."""
 
 FENCE_PERIOD_S = 1.0
-"""Grants that were not answered are ruled out so often at most: each time is a write."""
+"""Shortest time between two writes that fence off unanswered grants with new tokens."""
 
-LOAD_REST_S = 3.0
-"""After a write that failed nothing moves for the sake of load for so long: while answers of the
-store are lost, gateways hear late of a move, and until then its keys are refused."""
+LOAD_MOVE_PAUSE_S = 3.0
+"""After a failed write no range moves because of load for this long: while answers of the store are
+lost, gateways learn of a move late and refuse its keys until then."""
 
-SETTLE_S = 1.5
-"""Before the first table of a service is written, its servers have stood so long unchanged: at the
-start of everything they record themselves one after the other."""
+SERVER_SETTLE_S = 1.5
+"""The first table of a service is written once its set of servers has not changed for this long:
+when the whole system starts, they register one after the other."""
 
 
 class GroupLeader:
     """Writes tables of owners, keeps their ranges granted, and moves ranges.
 
-    One life of it is one epoch: `run` returns when this process leads no longer.
+    An instance serves one epoch: `run` returns when this process no longer leads.
     """
 
     def __init__(
@@ -91,107 +90,108 @@
         self._load = GroupLoad(peers, clock)
         self._resting = RestingOwners(servers, peers)
         self._candidates = OwnerCandidates(servers, reach, self._resting, speed_of)
-        self._balanced_s = float("-inf")
-        self._evened_s = float("-inf")
-        self._cleaned_s = float("-inf")
+        self._overload_checked_s = float("-inf")
+        self._rebalanced_s = float("-inf")
+        self._cleaned_up_s = float("-inf")
         self._fenced_s = float("-inf")
-        self._failed_s = float("-inf")
-        self._taken: set[str] = set()
-        self._before: PredecessorBound | None = None
-        self._seen: dict[str, tuple[frozenset[str], float]] = {}
+        self._write_failed_s = float("-inf")
+        self._loaded: set[str] = set()
+        self._predecessor_bound: PredecessorBound | None = None
+        self._seen_servers: dict[str, tuple[frozenset[str], float]] = {}
         self._recovery = TableRecovery(
             leadership, tables, writer, keepers, bounds, policy, servers, clock
         )
 
     async def run(self, predecessor: LeaderRow) -> None:
-        """Lead until another leader is named, or none."""
-        before = self._before = PredecessorBound(predecessor, self._leadership.liveness)
+        """Lead until the leader row no longer names this process for its epoch."""
+        bound = self._predecessor_bound = PredecessorBound(predecessor, self._leadership.liveness)
         epoch = self._leadership.row.epoch
         await self._writer.reread()
         if not self._leadership.led_former_era(self._leadership.era - 1):
-            self._bounds.start_epoch(self._predecessor_until_s(before))
-            for server_id in before.silent_servers():
+            self._bounds.start_epoch(self._predecessor_until_s(bound))
+            for server_id in bound.silent_servers():
                 self._reach.mark_silent(server_id)
-        self._leadership.start_acting(epoch, before, self._bounds, self._reach.orders)
+        self._leadership.start_acting(epoch, bound, self._bounds, self._reach.orders)
         try:
-            while self._leads(epoch) and not await self._take_tables():
+            while self._leads(epoch) and not await self._load_tables():
                 await self._clock.sleep(TICK_S)
             while self._leads(epoch):
-                self._watch_predecessor(before)
+                self._watch_predecessor(bound)
                 self._bounds.drop_expired()
                 self._load.collect_samples(self._keyed_services())
                 for service in self._keyed_services():
-                    await self._look_after(service)
+                    await self._update_service(service)
                 await self._clock.sleep(TICK_S)
         finally:
             self._keepers.stop_all()
 
-    def _predecessor_until_s(self, before: PredecessorBound) -> float:
-        """Return the bound of what the leader before this one has granted.
+    def _predecessor_until_s(self, bound: PredecessorBound) -> float:
+        """Return the latest end of holds that the previous leader granted.
 
-        Minus infinity in an era that has no tables yet, unless this process followed the former one
-        to its end: what anybody may have granted is then noted range by range when the tables are
-        brought into the new era.
+        Minus infinity in an era that has no tables yet, unless this process followed the former era
+        to its end: TableRecovery then records possible holds range by range.
         """
         era = self._leadership.era
         if self._tables.has_tables_of(era) or self._leadership.knows_former_era(era - 1):
-            return before.until_s(self._clock.now(), self._policy.longest_max_s)
+            return bound.until_s(self._clock.now(), self._policy.longest_max_s)
         return float("-inf")
 
     def _leads(self, epoch: int) -> bool:
-        """Tell whether the newest known row still names this process for `epoch`."""
+        """Return whether the newest known leader row still names this process for `epoch`."""
         return self._leadership.row.epoch == epoch and self._leadership.is_named()
 
-    # ---- beginning ----
+    # ---- start of an epoch ----
 
-    def _watch_predecessor(self, before: PredecessorBound) -> None:
-        """Lower the bound once the predecessor is known to act no longer."""
-        if before.has_stopped_acting():
-            until_s = before.until_s(self._clock.now(), self._policy.longest_max_s)
+    def _watch_predecessor(self, bound: PredecessorBound) -> None:
+        """Lower the bound once the predecessor is known to have stopped acting."""
+        if bound.has_stopped_acting():
+            until_s = bound.until_s(self._clock.now(), self._policy.longest_max_s)
             self._bounds.lower_predecessor_bound(until_s)
 
-    async def _take_tables(self) -> bool:
-        """Read the tables as the last leader left them and put new tokens on all ranges.
+    async def _load_tables(self) -> bool:
+        """Read the tables that the last leader wrote and give all ranges new tokens.
 
-        False where that did not come about, such as by a write whose answer was lost: it is then to
-        be done again from the rows as they are.
+        Returns False if a step failed, such as a write whose answer was lost; the caller then
+        retries from the rows as they are.
         """
         if not await self._writer.reread():
             return False
         for service in self._keyed_services():
-            if not await self._take_table(service):
+            if not await self._load_table(service):
                 return False
         return True
 
-    async def _take_table(self, service: str) -> bool:
+    async def _load_table(self, service: str) -> bool:
         table = self._tables.table(service)
-        self._note_inherited(service, table)
+        self._mark_inherited(service, table)
         if table.version.era != self._leadership.era:
-            is_taken = await self._recovery.carry_over(service)
+            is_loaded = await self._recovery.carry_over(service)
         else:
             new_tokens = with_new_tokens(table)
-            is_taken = not table.ranges or await self._writer.write(new_tokens, "new_leader")
-        if is_taken:
-            self._taken.add(service)
-        return is_taken
+            is_loaded = not table.ranges or await self._writer.write(new_tokens, "new_leader")
+        if is_loaded:
+            self._loaded.add(service)
+        return is_loaded
 
-    def _note_inherited(self, service: str, table: OwnershipTable) -> None:
+    def _mark_inherited(self, service: str, table: OwnershipTable) -> None:
         for owned in table.ranges:
             keys = (owned.first, owned.last)
             self._bounds.mark_inherited(owned.server_id, *keys)
             self._bounds.mark_unfenced(owned.server_id, *keys)
             for former in owned.former:
                 self._bounds.mark_inherited(former.server_id, *keys)
-                if self._before is None or self._before.may_be_pending(service, *keys):
+                if self._predecessor_bound is None or self._predecessor_bound.may_be_pending(
+                    service, *keys
+                ):
                     self._bounds.mark_unfenced(former.server_id, *keys)
 
     # ---- one service ----
 
-    async def _look_after(self, service: str) -> None:
+    async def _update_service(self, service: str) -> None:
         if not self._leadership.may_act():
             return
-        # The configuration may be read, or name a service, only after this process began to lead.
-        if service not in self._taken and not await self._take_table(service):
+        # The configuration may be read, or add a service, after this process began to lead.
+        if service not in self._loaded and not await self._load_table(service):
             return
         table = self._tables.table(service)
         if not table.ranges:
@@ -200,12 +200,12 @@
         self._keepers.update(service, table)
         changed = self._changed_table(service, table)
         if changed is not None and not await self._writer.write(*changed):
-            self._failed_s = self._clock.now()
+            self._write_failed_s = self._clock.now()
 
     def _changed_table(
         self, service: str, table: OwnershipTable
     ) -> tuple[OwnershipTable, str] | None:
-        """Return the next change of a table, with its reason; None: it is to stay."""
+        """Return the next version of a table, with the reason; None: nothing to change."""
         if self._writer.is_unsettled(service):
             return table, "settle"
         fenced = self._keepers.needing_token(service)
@@ -214,67 +214,70 @@
         returns = self._keepers.return_moves(service)
         if returns:
             return with_moves(table, returns), returns[0].reason
-        # Former owners that are ruled out leave the row with whatever else is written.
+        # Ruled-out former owners are removed together with any other change.
         granted = [each for each in self._keepers.granted(service) if each.former]
         cleaned = without_former(table, granted) if granted else table
-        late = self._keepers.needing_fence(service)
-        if late and self._clock.now() - self._fenced_s >= FENCE_PERIOD_S:
+        needing_fence = self._keepers.needing_fence(service)
+        if needing_fence and self._clock.now() - self._fenced_s >= FENCE_PERIOD_S:
             self._fenced_s = self._clock.now()
-            fenced_table = with_new_token_of(table, late)
+            fenced_table = with_new_token_of(table, needing_fence)
             return without_former(fenced_table, granted), "unanswered"
-        moved = self._moved_table(service, cleaned, late)
+        moved = self._moved_table(service, cleaned, needing_fence)
         return moved or self._cleaned_table(cleaned, bool(granted))
 
     def _moved_table(
-        self, service: str, table: OwnershipTable, late: Sequence[OwnedRange]
+        self, service: str, table: OwnershipTable, needing_fence: Sequence[OwnedRange]
     ) -> tuple[OwnershipTable, str] | None:
-        """Return the table after the moves that are due; `late` ranges stay.
+        """Return the table after the moves that are due; ranges in `needing_fence` stay.
 
-        Their owners answer and may take an earlier grant late, which a release does not rule out.
+        Their owners may still apply an earlier grant late, which a release does not rule out.
         """
-        leavers = self._candidates.servers_to_drain(table)
-        stayers = self._candidates.capacities(service, leavers)
+        to_drain = self._candidates.servers_to_drain(table)
+        targets = self._candidates.capacities(service, to_drain)
         window = self._load.slow(service)
-        resting = self._resting.to_relieve(table, window, stayers)
-        leavers.update({each: "resting" for each in resting if each not in leavers})
+        resting = self._resting.owners_to_relieve(table, window, targets)
+        to_drain.update({each: "resting" for each in resting if each not in to_drain})
         balancer = LoadBalancer(table, window)
-        moves = moves_outside(balancer.drain_moves(leavers, stayers), late)
+        moves = moves_outside(balancer.drain_moves(to_drain, targets), needing_fence)
         if moves:
             return with_moves(table, moves), moves[0].reason
-        return self._balanced_table(service, table, stayers, late)
+        return self._balanced_table(service, table, targets, needing_fence)
 
     def _balanced_table(
         self,
         service: str,
         table: OwnershipTable,
         servers: list[ServerCapacity],
-        late: Sequence[OwnedRange],
+        needing_fence: Sequence[OwnedRange],
     ) -> tuple[OwnershipTable, str] | None:
         now_s = self._clock.now()
-        if now_s - self._balanced_s < BALANCE_PERIOD_S or now_s - self._failed_s < LOAD_REST_S:
+        if (
+            now_s - self._overload_checked_s < OVERLOAD_CHECK_PERIOD_S
+            or now_s - self._write_failed_s < LOAD_MOVE_PAUSE_S
+        ):
             return None
-        self._balanced_s = now_s
-        moves = moves_outside(overload_moves(table, self._load, servers), late)
-        if not moves and now_s - self._evened_s > EVEN_PERIOD_S:
-            self._evened_s = now_s
-            moves = moves_outside(rebalance_moves(table, self._load, servers), late)
+        self._overload_checked_s = now_s
+        moves = moves_outside(overload_moves(table, self._load, servers), needing_fence)
+        if not moves and now_s - self._rebalanced_s > REBALANCE_PERIOD_S:
+            self._rebalanced_s = now_s
+            moves = moves_outside(rebalance_moves(table, self._load, servers), needing_fence)
         return (with_moves(table, moves), moves[0].reason) if moves else None
 
     def _cleaned_table(
         self, cleaned: OwnershipTable, is_changed: bool
     ) -> tuple[OwnershipTable, str] | None:
-        if not is_changed or self._clock.now() - self._cleaned_s < CLEAN_PERIOD_S:
+        if not is_changed or self._clock.now() - self._cleaned_up_s < CLEANUP_PERIOD_S:
             return None
-        self._cleaned_s = self._clock.now()
+        self._cleaned_up_s = self._clock.now()
         return cleaned, "former_ruled_out"
 
     async def _first_table(self, service: str) -> None:
         servers = sorted(self._servers.usable(service), key=lambda each: each.server_id)
         names = frozenset(each.server_id for each in servers)
         now_s = self._clock.now()
-        if service not in self._seen or self._seen[service][0] != names:
-            self._seen[service] = (names, now_s)
-        if not servers or now_s - self._seen[service][1] < SETTLE_S:
+        if service not in self._seen_servers or self._seen_servers[service][0] != names:
+            self._seen_servers[service] = (names, now_s)
+        if not servers or now_s - self._seen_servers[service][1] < SERVER_SETTLE_S:
             return
         slots = [each.slots for each in servers]
         above = first_number(self._leadership.era)
--- a/indigoworks/ownership/group_load.py
+++ b/indigoworks/ownership/group_load.py
@@ -1,4 +1,4 @@
-"""Load of the services of a control group, from samples of their keys."""
+"""Load of the services of a control group, from sampled request keys."""
 
 from collections.abc import Iterable
 
@@ -9,8 +9,8 @@
 BURST_WINDOW_S = 0.5
 FAST_WINDOW_S = 1.5
 SLOW_WINDOW_S = 8.0
-"""Loads are judged over a very short time, for keys that have just turned hot and are beyond doubt,
-over a short one, and over a long one."""
+"""Window lengths: a very short one for keys that have clearly just become hot, a short one for hot
+keys in general, and a long one for lasting differences."""
 
 
 class GroupLoad:
@@ -24,19 +24,19 @@
         self._slow: dict[str, LoadWindow] = {}
 
     def burst(self, service: str) -> LoadWindow:
-        """Return the window that shows keys which turned hot less than a second ago."""
+        """Return the window for keys that became hot less than a second ago."""
         return self._window(self._burst, service, BURST_WINDOW_S)
 
     def fast(self, service: str) -> LoadWindow:
-        """Return the window that shows a key which has just turned hot."""
+        """Return the window for keys that have just become hot."""
         return self._window(self._fast, service, FAST_WINDOW_S)
 
     def slow(self, service: str) -> LoadWindow:
-        """Return the window that shows lasting differences."""
+        """Return the window for lasting differences."""
         return self._window(self._slow, service, SLOW_WINDOW_S)
 
     def collect_samples(self, services: Iterable[str]) -> None:
-        """Add what the exchange has brought since the last call, for `services`."""
+        """Add the samples that peers have reported since the last call, for `services`."""
         for service in services:
             self.burst(service)
             self.fast(service)
--- a/indigoworks/ownership/hold_bounds.py
+++ b/indigoworks/ownership/hold_bounds.py
@@ -1,4 +1,8 @@
-"""Until when a server may hold keys at the latest."""
+"""Upper bounds of the times until which servers may hold keys.
+
+A hold is a server's lease on a range of keys, under a token. It starts when the server applies a
+grant and lasts for the seconds that the grant names.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -10,20 +14,20 @@
 from indigoworks.ownership.owned_range import OwnedRange
 
 CLOCK_DRIFT_FACTOR = 1.02
-"""A server's clock may run so much slow."""
+"""Allows for a server's clock that runs slow by this factor."""
 
 SEND_MARGIN_S = 0.1
-"""For the time between the reading of our clock and the sending."""
+"""Allows for the time between the reading of our clock and the sending."""
 
 MAX_ORDER_DELAY_S = 13.0
-"""A server may carry out an order that it did not answer up to so long after it was sent."""
+"""Longest time after its sending until a running server applies an order that it did not answer."""
 
 
 SLOW_ORDER_S = 0.1
-"""An order that is under way for longer may well be one that is carried out late."""
+"""A grant in flight for longer than this is announced to peers as one that may be applied late."""
 
 EXPIRED_HOLD_RETENTION_S = 60.0
-"""Holds that have ended are remembered for so long, for the log only."""
+"""Time for which holds that have ended are remembered, for the log only."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,25 +38,25 @@
     token: int
 
     def overlaps(self, server_id: str, first: int, last: int) -> bool:
-        """Tell whether the server may hold one of the keys by it."""
+        """Return whether the hold concerns the server and any of the keys."""
         return self.server_id == server_id and self.first <= last and first <= self.last
 
     def without(self, first: int, last: int) -> "list[_Hold]":
-        """Return what is left when keys `first` to `last` are taken out."""
-        left = []
+        """Return the parts of the hold without keys `first` to `last`."""
+        remaining = []
         if self.first < first:
-            left.append(replace(self, last=first - 1))
+            remaining.append(replace(self, last=first - 1))
         if last < self.last:
-            left.append(replace(self, first=last + 1))
-        return left
+            remaining.append(replace(self, first=last + 1))
+        return remaining
 
 
 class HoldBounds:
-    """Latest possible end of holds, on our clock, by server and range.
+    """Tracks the latest possible end of holds, on our clock, by server and range.
 
-    A grant is noted before it is sent, with the bound that stands if its answer is never seen. One
-    that was not answered stays possible until a server has answered an order under a higher token
-    on the same keys: it refuses the earlier one from then on.
+    A grant is recorded before it is sent, with the bound that applies if it is never answered. An
+    unanswered grant may be applied until the server has answered a grant under a higher token on
+    the same keys: from then on it refuses the earlier one.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -67,21 +71,21 @@
         self._unfenced = KeySpans()
 
     def start_epoch(self, predecessor_until_s: float) -> None:
-        """Begin as a new leader; what this process granted as an earlier one may still hold.
+        """Start an epoch as leader; grants of this process in earlier epochs may still hold.
 
-        :param predecessor_until_s: bound of what earlier leaders granted, as known now.
+        :param predecessor_until_s: bound of the holds that earlier leaders granted, as known now.
         """
         self._inherited = KeySpans()
         self._unfenced = KeySpans()
         self._predecessor_s = predecessor_until_s
 
     def add_possible_hold(self, server_id: str, owned: OwnedRange, until_s: float) -> None:
-        """Take note that a server may hold a range by the grant of a leader that is not known."""
+        """Record that a server may hold a range by a grant of an unknown leader."""
         hold = _Hold(server_id, owned.first, owned.last, owned.token)
         self._settled_s[hold] = max(until_s, self._settled_s.get(hold, until_s))
 
     def lower_predecessor_bound(self, until_s: float) -> None:
-        """Lower the bound of earlier leaders' grants: the predecessor acts no longer."""
+        """Lower the bound of earlier leaders' grants: the predecessor has stopped acting."""
         if until_s < self._predecessor_s:
             self._predecessor_s = until_s
             log_message(
@@ -89,13 +93,13 @@
             )
 
     def record_sent(self, owned: OwnedRange, hold_s: float, timeout_s: float) -> None:
-        """Take note that a grant is about to be sent and answered within `timeout_s`, or not."""
+        """Record that a grant is about to be sent; its answer is awaited for `timeout_s`."""
         late_s = timeout_s + MAX_ORDER_DELAY_S + hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
         self._in_flight_s[_hold(owned)] = self._clock.now() + late_s
         self._sent_s[_hold(owned)] = self._clock.now()
 
     def record_answered(self, owned: OwnedRange, hold_s: float) -> None:
-        """Take note that the grant was answered now: it was taken before this moment."""
+        """Record that the grant was answered now, so that it was applied before."""
         hold = _hold(owned)
         self._in_flight_s.pop(hold, None)
         for spans in (self._inherited, self._unfenced):
@@ -106,49 +110,49 @@
         self._settled_s[hold] = max(until_s, self._settled_s.get(hold, until_s))
 
     def record_not_applied(self, owned: OwnedRange) -> None:
-        """Take note that the grant certainly was not and will not be taken."""
+        """Record that the grant certainly was not and will not be applied."""
         self._in_flight_s.pop(_hold(owned), None)
 
     def record_unanswered(self, owned: OwnedRange) -> None:
-        """Take note that the grant may still be taken."""
+        """Record that the grant was not answered and may still be applied."""
         hold = _hold(owned)
         until_s = self._in_flight_s.pop(hold, float("-inf"))
         self._unanswered_s[hold] = max(until_s, self._unanswered_s.get(hold, float("-inf")))
 
     def record_released(self, server_id: str, first: int, last: int, token: int) -> None:
-        """Take note that the server has given up what it held under tokens below `token`.
+        """Record that the server has given up what it held under tokens below `token`.
 
-        A grant that it may still take late stays possible: no page says that a server remembers the
-        token of a release, as it does that of a grant.
+        Unanswered grants may still be applied: servers are not specified to remember the token of a
+        release, as they do that of a grant.
         """
         for known in (self._settled_s, self._expired_s):
             _remove_keys_below(known, server_id, first, last, token)
 
     def mark_inherited(self, server_id: str, first: int, last: int) -> None:
-        """Take note that earlier leaders may have sent the server grants of keys."""
+        """Record that earlier leaders may have sent the server grants of the keys."""
         self._inherited.add(server_id, first, last)
 
     def mark_unfenced(self, server_id: str, first: int, last: int) -> None:
-        """Take note that a release of keys says less of a server than a grant under a new token."""
+        """Record that a release is not enough: earlier grants need one under a new token."""
         self._unfenced.add(server_id, first, last)
 
     def clear_unfenced(self, server_id: str, first: int, last: int) -> None:
-        """Take note that a release of keys is enough from now on."""
+        """Record that a release of the keys is enough from now on."""
         self._unfenced.remove(server_id, first, last)
 
     def is_unfenced(self, server_id: str, first: int, last: int) -> bool:
-        """Tell whether a server is to answer a grant of any of the keys before it is released."""
+        """Return whether a release of any of the keys does not rule out the server on its own."""
         return self._unfenced.overlaps(server_id, first, last)
 
     def is_inherited(self, server_id: str, first: int, last: int) -> bool:
-        """Tell whether grants of any of the keys by earlier leaders may be on their way.
+        """Return whether the server may yet apply earlier leaders' grants of any of the keys.
 
         The server refuses them once it has answered a grant of this leader.
         """
         return self._inherited.overlaps(server_id, first, last)
 
     def may_apply_late(self, server_id: str, first: int, last: int) -> bool:
-        """Tell whether a grant of any of the keys that the server left unanswered may be taken."""
+        """Return whether the server may yet apply an unanswered grant of any of the keys."""
         return any(each.overlaps(server_id, first, last) for each in self._unanswered_s)
 
     def until_s(self, server_id: str, first: int, last: int) -> float:
@@ -173,7 +177,7 @@
     def last_grant(self, server_id: str, first: int, last: int) -> tuple[float, int | None]:
         """Return the latest end of this process's own grants, and their highest token, for the log.
 
-        Those that have ended of late count, and those of epochs before the current one.
+        Includes grants that ended recently, and those of earlier epochs.
         """
         holds = [
             (until_s, hold.token)
@@ -185,9 +189,9 @@
         return until_s, max((token for _, token in holds), default=None)
 
     def longest_left_s(self) -> float:
-        """Return how long the longest of this leader's holds may last.
+        """Return how long the longest of this leader's holds may still last.
 
-        Orders that are under way as usual are left out: else each one would count as late.
+        Grants just sent are not included: each would count as unanswered, with a long bound.
         """
         now_s = self._clock.now()
         slow_s = [
@@ -199,11 +203,11 @@
         return max((0.0, *(until_s - now_s for until_s in bounds_s)))
 
     def earlier_left_s(self) -> float:
-        """Return how long holds may last that earlier leaders granted; infinity: not known yet."""
+        """Return how long earlier leaders' holds may still last; infinity: not known yet."""
         return max(0.0, self._predecessor_s - self._clock.now())
 
     def drop_expired(self) -> None:
-        """Forget holds that have ended, but for those by grants that may still be taken."""
+        """Drop holds that have ended, except those by grants that may still be applied."""
         now_s = self._clock.now()
         for known in (self._settled_s, self._in_flight_s):
             self._remember({hold: at_s for hold, at_s in known.items() if at_s <= now_s})
@@ -223,12 +227,12 @@
 def _remove_keys_below(
     known: dict[_Hold, float], server_id: str, first: int, last: int, token: int
 ) -> None:
-    """Take keys out of the holds of a server under tokens below `token`."""
+    """Remove keys from the holds of a server under tokens below `token`."""
     for hold in [each for each in known if each.overlaps(server_id, first, last)]:
         if hold.token < token:
             until_s = known.pop(hold)
-            for left in hold.without(first, last):
-                known[left] = max(until_s, known.get(left, until_s))
+            for remaining in hold.without(first, last):
+                known[remaining] = max(until_s, known.get(remaining, until_s))
 
 
 def _hold(owned: OwnedRange) -> _Hold:
--- a/indigoworks/ownership/keeper_set.py
+++ b/indigoworks/ownership/keeper_set.py
@@ -1,4 +1,4 @@
-"""The keepers of all ranges of a leader."""
+"""The range keepers of a leader."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,10 +13,10 @@
 
 
 class KeeperSet:
-    """One keeper for each range of the tables in force.
+    """Runs one keeper for each range of the current tables.
 
-    A piece of a range that was cut keeps its owner and token: what the owner holds stays granted,
-    and only the renewals go piece by piece from then on.
+    A part of a split range keeps its owner and token: what the owner holds stays granted, and from
+    then on each part is renewed separately.
     """
 
     def __init__(self, make_keeper: MakeKeeper) -> None:
@@ -25,7 +25,7 @@
         self._granted_at_stop: dict[str, frozenset[OwnedRange]] = {}
 
     def update(self, service: str, table: OwnershipTable) -> None:
-        """Start keepers of new ranges and stop those of ranges that are gone."""
+        """Start keepers of new ranges and stop those of ranges that no longer exist."""
         keepers = self._keepers.setdefault(service, {})
         wanted = set(table.ranges)
         new = [each for each in table.ranges if each not in keepers]
@@ -37,18 +37,18 @@
             keeper.start(granted[owned])
 
     async def quiesce(self, service: str, table: OwnershipTable) -> None:
-        """Send no grant for ranges that `table` changes; returns when none is under way."""
+        """Stop sending grants for ranges that `table` changes; returns when none is in flight."""
         wanted = set(table.ranges)
-        for keeper in [each for each in self._of(service) if each.owned not in wanted]:
+        for keeper in [each for each in self._keepers_of(service) if each.owned not in wanted]:
             await keeper.quiesce()
 
     def resume(self, service: str) -> None:
-        """Renew all ranges of a service again."""
-        for keeper in self._of(service):
+        """Resume the renewals of all ranges of a service."""
+        for keeper in self._keepers_of(service):
             keeper.resume()
 
     def stop_all(self) -> None:
-        """Stop all keepers; what their owners hold is remembered."""
+        """Stop all keepers, and remember which ranges their owners hold."""
         self._granted_at_stop = {
             service: frozenset(self.granted(service)) for service in self._keepers
         }
@@ -59,35 +59,35 @@
 
     def granted(self, service: str) -> list[OwnedRange]:
         """Return the ranges that their owners hold."""
-        return [each.owned for each in self._of(service) if each.is_granted]
+        return [each.owned for each in self._keepers_of(service) if each.is_granted]
 
     def granted_at_stop(self, service: str) -> frozenset[OwnedRange]:
-        """Return the ranges that their owners held when all keepers were stopped last."""
+        """Return the ranges that their owners held when `stop_all` was last called."""
         return self._granted_at_stop.get(service, frozenset())
 
     async def confirm(self, service: str, owned: OwnedRange) -> OrderResult | None:
-        """Renew one grant, once, and return the result; None: nothing was sent."""
+        """Renew one grant once, and return the result; None: nothing was sent."""
         return await self._make_keeper(service, owned).renew()
 
     async def release(self, service: str, owned: OwnedRange, server_id: str) -> None:
-        """Have a server release keys under the token before that of `owned`."""
+        """Send a server a release of the keys of `owned`, under the token before its own."""
         await self._make_keeper(service, owned).release_from(server_id)
 
     def granted_count(self) -> int:
-        """Return how many ranges of all services their owners hold."""
+        """Return the number of ranges, over all services, that their owners hold."""
         return sum(len(self.granted(service)) for service in self._keepers)
 
     def needing_token(self, service: str) -> list[OwnedRange]:
         """Return the ranges whose owners have seen a higher token."""
-        return [each.owned for each in self._of(service) if each.needs_token]
+        return [each.owned for each in self._keepers_of(service) if each.needs_token]
 
     def needing_fence(self, service: str) -> list[OwnedRange]:
-        """Return the ranges whose owners may still take a grant that they left unanswered."""
-        return [each.owned for each in self._of(service) if each.needs_fence]
+        """Return the ranges whose owners may still apply a grant that they left unanswered."""
+        return [each.owned for each in self._keepers_of(service) if each.needs_fence]
 
     def return_moves(self, service: str) -> list[RangeMove]:
         """Return the moves of ranges back to former owners that answer again."""
-        moves = (each.return_move for each in self._of(service))
+        moves = (each.return_move for each in self._keepers_of(service))
         return [each for each in moves if each is not None]
 
     def pending(self) -> tuple[PendingRange, ...]:
@@ -99,13 +99,13 @@
             if not keeper.is_granted
         )
 
-    def _of(self, service: str) -> Iterable[RangeKeeper]:
+    def _keepers_of(self, service: str) -> Iterable[RangeKeeper]:
         return self._keepers.get(service, {}).values()
 
     def _is_covered(self, keepers: Iterable[RangeKeeper], owned: OwnedRange) -> bool:
-        """Tell whether the keys are granted to the same owner already.
+        """Return whether all keys are already granted to the same owner.
 
-        It holds them under the same token, or under one that only gives way to a higher one.
+        It holds them under the same token, or under one that is replaced only to fence it.
         """
         covered = sum(
             min(each.owned.last, owned.last) - max(each.owned.first, owned.first) + 1
--- a/indigoworks/ownership/key_grant.py
+++ b/indigoworks/ownership/key_grant.py
@@ -1,13 +1,13 @@
-"""An order to hold keys."""
+"""An order to a server to hold keys."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class KeyGrant:
-    """The server may work on keys `first` to `last` under `token` for `hold_s` from its arrival.
+    """Lets a server work on keys `first` to `last` under `token` for `hold_s` from its arrival.
 
-    :ivar handover: what the last holder's release answered; None where there was none.
+    :ivar handover: data that the previous owner returned on release; None: there is none.
     """
 
     first: int
--- a/indigoworks/ownership/key_release.py
+++ b/indigoworks/ownership/key_release.py
@@ -1,11 +1,11 @@
-"""An order to give keys up."""
+"""An order to a server to give up keys."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRelease:
-    """The server starts no new work on keys `first` to `last`; later grants below `token` fail."""
+    """Stops new work on keys `first` to `last`; later grants under tokens below `token` fail."""
 
     first: int
     last: int
--- a/indigoworks/ownership/key_spans.py
+++ b/indigoworks/ownership/key_spans.py
@@ -1,7 +1,7 @@
-"""Keys of servers, as spans."""
+"""Sets of keys by server, as spans."""
 
 Span = tuple[int, int]
-"""First and last key, both inside."""
+"""First and last key, inclusive."""
 
 
 class KeySpans:
@@ -11,7 +11,7 @@
         self._spans: dict[str, list[Span]] = {}
 
     def add(self, server_id: str, first: int, last: int) -> None:
-        """Add keys `first` to `last` of a server; neighbouring spans become one."""
+        """Add keys `first` to `last` of a server; adjacent spans are merged."""
         apart = []
         for span in self._spans.get(server_id, []):
             if span[0] <= last + 1 and first <= span[1] + 1:
@@ -21,13 +21,13 @@
         self._spans[server_id] = [*apart, (first, last)]
 
     def remove(self, server_id: str, first: int, last: int) -> None:
-        """Take keys `first` to `last` of a server out."""
-        left = []
+        """Remove keys `first` to `last` of a server."""
+        remaining = []
         for span in self._spans.get(server_id, []):
             before, after = (span[0], min(span[1], first - 1)), (max(span[0], last + 1), span[1])
-            left += [each for each in (before, after) if each[0] <= each[1]]
-        self._spans[server_id] = left
+            remaining += [each for each in (before, after) if each[0] <= each[1]]
+        self._spans[server_id] = remaining
 
     def overlaps(self, server_id: str, first: int, last: int) -> bool:
-        """Tell whether one of keys `first` to `last` is in the set of a server."""
+        """Return whether any of keys `first` to `last` is in the set of a server."""
         return any(span[0] <= last and first <= span[1] for span in self._spans.get(server_id, []))
--- a/indigoworks/ownership/leader_lease.py
+++ b/indigoworks/ownership/leader_lease.py
@@ -1,4 +1,4 @@
-"""For how long a leader may act."""
+"""The lease of a leader."""
 
 LEADER_LEASE_S = 6.0
-"""A leader acts while its newest proof of leadership is younger."""
+"""A leader may act while its newest proof of leadership is younger than this."""
--- a/indigoworks/ownership/leader_log.py
+++ b/indigoworks/ownership/leader_log.py
@@ -1,4 +1,4 @@
-"""Lines of the log on what a process is as leader."""
+"""Log lines on the leadership of this process."""
 
 from collections.abc import Mapping
 
@@ -8,39 +8,39 @@
 from indigoworks.ownership.order_tracker import OrderTracker
 from indigoworks.ownership.predecessor_bound import PredecessorBound
 
-LONGEST_S = 1e6
-"""Stands for a time without end."""
+MAX_LOGGED_S = 1e6
+"""Logged in place of infinity."""
 
 
 def left_s(until_s: float, now_s: float) -> float | None:
-    """Return the seconds until a bound, negative after it; None where there is none."""
-    return None if until_s == float("-inf") else round(min(until_s - now_s, LONGEST_S), 3)
+    """Return the seconds until a bound, negative after it; None: there is no bound."""
+    return None if until_s == float("-inf") else round(min(until_s - now_s, MAX_LOGGED_S), 3)
 
 
 def log_acting(
-    epoch: int, before: PredecessorBound, bounds: HoldBounds, led_before: bool, now_s: float
+    epoch: int, predecessor: PredecessorBound, bounds: HoldBounds, led_before: bool, now_s: float
 ) -> None:
-    """Tell that this process begins to give orders, and for what it waits."""
+    """Log that this process starts to send orders, and which bound it waits for."""
     until_s = bounds.predecessor_until_s
     if led_before:
         reason = "led_before"
     elif until_s == float("-inf"):
         reason = "nothing_granted"
     else:
-        reason = "acts_no_more" if before.has_stopped_acting() else "may_act"
+        reason = "acts_no_more" if predecessor.has_stopped_acting() else "may_act"
     log_message(
         message_type="leader:acts",
         epoch=epoch,
-        predecessor=before.row.node,
-        predecessor_epoch=before.row.epoch,
-        is_known_to_act_no_more=before.has_stopped_acting(),
+        predecessor=predecessor.row.node,
+        predecessor_epoch=predecessor.row.epoch,
+        is_known_to_act_no_more=predecessor.has_stopped_acting(),
         bound_left_s=left_s(until_s, now_s),
         reason=reason,
     )
 
 
 def log_lost(epoch: int, to_node: str, orders: OrderTracker | None) -> None:
-    """Tell that the row names this process no longer."""
+    """Log that the leader row no longer names this process."""
     log_message(
         message_type="leader:lost",
         level="WARNING",
@@ -51,16 +51,16 @@
 
 
 def log_resigned(epoch: int, is_written: bool, order_fields: Mapping[str, object]) -> None:
-    """Tell that this process gave the leadership up.
+    """Log that this process gave up the leadership.
 
-    :param order_fields: of the moment from which it acted no more.
+    :param order_fields: as of the time at which it stopped acting.
     """
     log_message(message_type="leader:resigned", epoch=epoch, is_written=is_written, **order_fields)
 
 
 def order_fields(orders: OrderTracker | None) -> dict[str, object]:
-    """Return the fields on orders that are open when a process leads no longer."""
+    """Return the log fields on orders that are open when a process stops leading."""
     return {
-        "orders_under_way": 0 if orders is None else orders.under_way(),
-        "orders_unanswered": 0 if orders is None else orders.unanswered(),
+        "orders_under_way": 0 if orders is None else orders.in_flight_count(),
+        "orders_unanswered": 0 if orders is None else orders.unanswered_count(),
     }
--- a/indigoworks/ownership/leader_proof.py
+++ b/indigoworks/ownership/leader_proof.py
@@ -1,4 +1,4 @@
-"""The proof of leadership as the log tells of it."""
+"""The proof of leadership, as it is logged."""
 
 from typing import Protocol
 
@@ -6,19 +6,19 @@
 
 
 class LeaderProof(Protocol):
-    """What the log says of a process's leadership."""
+    """What is logged about a process's leadership."""
 
     def proof_age_s(self) -> float:
         """Return the age of the newest proof; infinity: there is none."""
         ...
 
     def state(self) -> LeaderState:
-        """Return what this process is as leader."""
+        """Return the state of this process as leader."""
         ...
 
 
 def proof_fields(proof: LeaderProof) -> dict[str, object]:
-    """Return the fields of a line on the proof; its age is None where there is none."""
+    """Return the log fields on the proof; its age is None if there is no proof."""
     age_s = proof.proof_age_s()
     return {
         "proof_age_s": None if age_s == float("inf") else round(age_s, 3),
--- a/indigoworks/ownership/leader_row.py
+++ b/indigoworks/ownership/leader_row.py
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRow:
-    """Leader of one epoch; an empty `node`: it gave the leadership up.
+    """Leader of one epoch; an empty `node`: it gave up the leadership.
 
-    :ivar version: version of the row; NO_VERSION where there is none.
+    :ivar version: version of the row; NO_VERSION: there is no row.
     """
 
     epoch: int
@@ -35,4 +35,4 @@
 
 
 NO_LEADER = LeaderRow(0, "", "", NO_VERSION)
-"""What holds before any leader wrote the row."""
+"""Stands for the row before any leader has written it."""
--- a/indigoworks/ownership/leader_state.py
+++ b/indigoworks/ownership/leader_state.py
@@ -1,4 +1,4 @@
-"""What a process is as leader of a control group."""
+"""States of a process as leader of a control group."""
 
 from enum import Enum
 
@@ -11,7 +11,7 @@
     UNPROVED = "unproved"
     """The newest known row names it, and it has no proof."""
     RESIGNED = "resigned"
-    """It gave the leadership up; a proof of it, if there is one, came later."""
+    """It gave up the leadership; any proof that it has arrived later."""
     LOST = "lost"
     """It has acted as leader, and the newest known row does not name it."""
     NEVER_LED = "never_led"
--- a/indigoworks/ownership/leadership.py
+++ b/indigoworks/ownership/leadership.py
@@ -31,23 +31,24 @@
 from indigoworks.rowstore.store_version import NO_VERSION
 from indigoworks.rowstore.transaction import ExpectedVersion, RowPut, Transaction
 
-SOUND_STORE_S = 2.5
-"""A challenger's own view of the store must be younger."""
+MAX_STORE_PROOF_AGE_S = 2.5
+"""A process challenges only if its newest proof from the store is younger than this."""
 
 
 class Leadership:
-    """Follows the leader's row, challenges a lost leader, and tells whether this process leads.
+    """Follows the leader row, challenges a lost leader, and decides whether this process may act.
 
-    Proof of leadership is an answer of the store that shows the row still naming this boot; it
-    counts from the moment at which the answer was certainly true. A challenge does not wait for the
-    old leader's lease: what the old leader may still do is ruled out server by server.
+    Proof of leadership is an answer of the store that shows the leader row still naming this run
+    (`boot`) of the process; its age counts from a time at which the answer was certainly true. A
+    challenge does not wait for the old leader's lease to expire: what the old leader may still have
+    granted is ruled out server by server.
 
-    In a new era of the store nobody leads until a row of that era is written: rows of before may be
-    gone. The leader of the former era is waited for a little, since it knows what it granted.
+    In a new era of the store nobody leads until a leader row of that era is written, since earlier
+    rows may be lost. Others let the leader of the former era go first: it knows what it granted.
 
     :ivar has_read: the group's rows have been read.
-    :ivar predecessor: the row before the newest one of the era, where that names this process.
-    :ivar former: what was known of the group when the era before this one ended.
+    :ivar predecessor: the leader row before the newest one, if the newest names this process.
+    :ivar former: what was known of the group when the previous era ended.
     :ivar era_seen_s: clock reading at which this process learnt of the current era.
     :ivar others_led_until_s: clock reading at which this process learnt of the end of the newest
         era in which others may have led.
@@ -87,17 +88,17 @@
         self._reasons = ChallengeReasons(node, self.liveness, directory, clock)
         group.eras.on_new(self._begin_era)
 
-    # ---- what the store says ----
+    # ---- updates from the store ----
 
     def apply(self, rows: Sequence[Row]) -> None:
-        """Take rows; those of other kinds are passed over."""
+        """Apply leader rows of the current era; other rows are ignored."""
         for row in rows:
             is_current = row.version.era == self.era
             if row.key == LEADER_KEY and is_current and row.version > self._row.version:
-                self._take_row(LeaderRow.decode(row.value, row.version))
+                self._accept_row(LeaderRow.decode(row.value, row.version))
 
     def record_proof(self, true_at_s: float) -> None:
-        """Take note that the rows applied so far were the newest at `true_at_s`."""
+        """Record that the rows applied so far were the newest at `true_at_s`."""
         if not self.has_read:
             self.era_seen_s = self.others_led_until_s = self._clock.now()
         self.has_read = self._has_read_era = True
@@ -106,26 +107,26 @@
             self._proof_s = true_at_s
 
     def record_commit(self, sent_s: float) -> None:
-        """Take note that a transaction under the condition of our row was made."""
+        """Record that a transaction conditioned on our leader row was committed."""
         if self._names_us() and (self._proof_s is None or sent_s > self._proof_s):
             self._proof_s = sent_s
 
     def record_former_row(self, row: LeaderRow) -> None:
-        """Take a row of an earlier era, as the store's copy holds it."""
+        """Record a leader row of an earlier era that is found in the store."""
         if row.version > self.former.row.version:
             self.former = replace(self.former, row=row)
 
     def start_acting(
-        self, epoch: int, before: PredecessorBound, bounds: HoldBounds, orders: OrderTracker
+        self, epoch: int, predecessor: PredecessorBound, bounds: HoldBounds, orders: OrderTracker
     ) -> None:
-        """Take note that the bounds of earlier leaders' grants stand: `epoch` may give orders."""
+        """Start sending orders in `epoch`, now that earlier leaders' grants have their bounds."""
         self._acting_epoch = epoch
         self._orders = orders
-        log_acting(epoch, before, bounds, self.led_former_era(self.era - 1), self._clock.now())
+        log_acting(epoch, predecessor, bounds, self.led_former_era(self.era - 1), self._clock.now())
 
     def _begin_era(self) -> None:
         is_fresh = self._has_read_era and self._clock.now() - self._followed_s <= HOLD_S
-        newest = max(self._acted_last(), self.former.row, key=lambda each: each.version)
+        newest = max(self._last_acting_row(), self.former.row, key=lambda each: each.version)
         is_led = self.may_act() and self.is_acting()
         self.former = FormerEra(newest, is_led, is_fresh)
         self._row_seen_s = self.era_seen_s = self._clock.now()
@@ -136,44 +137,43 @@
         self._proof_s = None
         self._changed.set()
 
-    # ---- questions ----
+    # ---- state ----
 
     @property
     def era(self) -> int:
-        """Return the era of the store whose rows count."""
+        """Return the current era of the store."""
         return self._group.eras.current
 
     def led_former_era(self, era: int) -> bool:
-        """Tell whether this process led until `era` ended, and nobody has led since."""
+        """Return whether this process led until `era` ended and nobody has led since."""
         return self.former.is_led and self._is_first_after(era)
 
     def knows_former_era(self, era: int) -> bool:
-        """Tell whether what this process read of `era` leaves no room for moves of which it does
-        not know.
+        """Return whether this process knows of all moves of ranges made in `era`.
 
-        A move away from an owner that renews its grants takes a release, which that owner knows of,
-        or the time of a hold.
+        A move away from an owner that renews its grants needs a release, which that owner has seen,
+        or the end of a hold.
         """
         return self._is_first_after(era) and (self.former.is_led or self.former.is_fresh)
 
-    def _acted_last(self) -> LeaderRow:
-        """Return the newest row whose leader may have given orders; that may be the one before."""
+    def _last_acting_row(self) -> LeaderRow:
+        """Return the newest leader row whose leader may have sent orders."""
         return self.predecessor if self._names_us() and not self.is_acting() else self._row
 
     def is_acting(self) -> bool:
-        """Tell whether this process has begun to lead in the newest epoch."""
+        """Return whether this process has begun to lead in the newest epoch."""
         return self._names_us() and self._acting_epoch == self._row.epoch
 
     def _is_first_after(self, era: int) -> bool:
-        """Tell whether no leader of this era was before, and `era` is the one right before it."""
+        """Return whether this era had no earlier leader and `era` directly precedes it."""
         return era == self.era - 1 and self.former.precedes(self.era) and self.is_first_in_era()
 
     def is_first_in_era(self) -> bool:
-        """Tell whether nobody is known to have led in this era before this process."""
+        """Return whether no earlier leader of this era is known."""
         return self.predecessor.version == NO_VERSION
 
     def previous_leader_row(self) -> LeaderRow:
-        """Return the row of the leader before this process."""
+        """Return the leader row before the one that names this process."""
         return self.former.row if self.is_first_in_era() else self.predecessor
 
     @property
@@ -182,11 +182,11 @@
         return self._row
 
     def is_named(self) -> bool:
-        """Tell whether the newest known row names this process."""
+        """Return whether the newest known row names this process."""
         return self._names_us()
 
     def may_act(self) -> bool:
-        """Tell whether this process may act as leader now; ask right before each order."""
+        """Return whether this process may act as leader now; called right before each order."""
         is_over = self._is_resigned or self.liveness.heard_later_epoch(self._row.epoch)
         return self._names_us() and not is_over and self.proof_age_s() < LEADER_LEASE_S
 
@@ -197,7 +197,7 @@
         return self._clock.now() - self._proof_s
 
     def state(self) -> LeaderState:
-        """Return what this process is as leader, for the log."""
+        """Return the state of this process as leader, for the log."""
         if self._is_resigned:
             return LeaderState.RESIGNED
         if self._names_us():
@@ -205,7 +205,7 @@
         return LeaderState.NEVER_LED if self._acting_epoch is None else LeaderState.LOST
 
     def condition(self) -> ExpectedVersion:
-        """Return the condition under which a leader's transactions are made."""
+        """Return the condition of all transactions of a leader."""
         return ExpectedVersion(CONTROL_TABLE, LEADER_KEY, self._row.version)
 
     async def wait_for_change(self, timeout_s: float) -> None:
@@ -220,7 +220,7 @@
     # ---- challenge ----
 
     async def challenge_if_lost(self) -> None:
-        """Try to take the leadership over where the leader is lost; `is_named` tells the result."""
+        """Try to take over the leadership if the leader is lost; `is_named` shows the result."""
         reason = self._reason_to_challenge()
         is_next = reason == "own_earlier_boot" and self._challenge_delay.may_skip_delay()
         if reason is not None and reason != "led_before" and not is_next:
@@ -230,19 +230,19 @@
             await self._take_over(reason)
 
     async def resign(self) -> None:
-        """Give the leadership up, so that a challenge needs no wait."""
+        """Give up the leadership, so that others can take over at once."""
         self._is_resigned = True
         if not self._names_us():
             return
         row = LeaderRow(self._row.epoch, "", "", NO_VERSION)
         self._proof_s = None
         open_orders = order_fields(self._orders)
-        result = await self._store.commit(self._write_of(row))
+        result = await self._store.commit(self._row_write(row))
         log_resigned(row.epoch, result.is_ok(), open_orders)
 
     def _reason_to_challenge(self) -> str | None:
-        is_sound = self._has_read_era and self._health.proof_age_s() < SOUND_STORE_S
-        if self._is_resigned or not is_sound or self._names_us():
+        is_store_healthy = self._has_read_era and self._health.proof_age_s() < MAX_STORE_PROOF_AGE_S
+        if self._is_resigned or not is_store_healthy or self._names_us():
             return None
         if self._row.version != NO_VERSION:
             return self._reasons.for_row(self._row, self._row_seen_s)
@@ -255,7 +255,7 @@
         known = max(self._row.epoch, self.former.row.epoch, first_number(self.era))
         row = LeaderRow(known + 1, self._node, self._boot, NO_VERSION)
         sent_s = self._clock.now()
-        result = await self._store.commit(self._write_of(row))
+        result = await self._store.commit(self._row_write(row))
         is_decided = result.is_ok() or isinstance(result.unwrap_err(), ConditionFailed)
         self._challenge_delay.record_outcome(is_failed=not is_decided)
         if isinstance(result, Err):
@@ -266,7 +266,7 @@
                 error=result.unwrap_err().kind,
             )
             return
-        self._take_row(LeaderRow(row.epoch, row.node, row.boot, result.unwrap()))
+        self._accept_row(LeaderRow(row.epoch, row.node, row.boot, result.unwrap()))
         self.record_commit(sent_s)
         log_message(
             message_type="leader:taken",
@@ -275,11 +275,11 @@
             silence_s=round(min(silence_s, 1e6), 3),
         )
 
-    def _write_of(self, row: LeaderRow) -> Transaction:
+    def _row_write(self, row: LeaderRow) -> Transaction:
         put = RowPut(CONTROL_TABLE, LEADER_KEY, row.encode())
         return self._group.transaction((self.condition(),), (put,))
 
-    def _take_row(self, row: LeaderRow) -> None:
+    def _accept_row(self, row: LeaderRow) -> None:
         if row.version <= self._row.version:
             return
         was_ours = self._names_us()
--- a/indigoworks/ownership/load_balancer.py
+++ b/indigoworks/ownership/load_balancer.py
@@ -1,4 +1,4 @@
-"""Which keys move because of load or because their server leaves."""
+"""Decides which keys move because of load or because their server is drained."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -12,95 +12,94 @@
 from indigoworks.ownership.server_load_share import requests_by_server, utilisation
 
 OVERLOAD_RATIO = 1.3
-"""A server is too busy when it has so many times the mean load."""
+"""A server is overloaded when its load is this many times the mean."""
 
 SIGNIFICANCE = 2.5
-"""And when it is so many standard deviations of its sample above the mean."""
+"""And when its sampled requests are this many standard deviations above the mean."""
 
 BURST_SIGNIFICANCE = 4.0
-"""The same over a very short time: chance shows more often in samples as short as that."""
+"""The same for a very short window, whose small samples vary more by chance."""
 
 LIMITED_SIGNIFICANCE = 1.0
 """The same for a server that names a limit: what it takes is known, and a server that gets three
 requests a second where it takes one has only four more in a sample of a second and a half."""
 
 KEPT_UTILISATION = 0.3
-"""A server that names a limit keeps keys for so much of it: its answers tell when that ends."""
+"""A server that names a limit keeps keys for this share of it: its answers show when it ends."""
 
 MIN_UTILISATION = 0.5
-"""Below this share of its slots a server is never too busy for a single key."""
+"""Below this share of its slots a server is never overloaded by a single key."""
 
 HIGH_UTILISATION = 0.75
 """From this share on a server is relieved at once."""
 
-LEAVER_PARTS = 3
-"""Parts into which the busiest range of a leaving server is cut, so that its load spreads."""
+DRAIN_PARTS = 3
+"""Parts into which the busiest range of a drained server is split, so that its load spreads."""
 
-UNCUT_RANGES = 4
-"""A leaving server with so many ranges gives them away whole: without this each round in which all
-servers are replaced would multiply the ranges, and each of them is renewed by itself."""
+WHOLE_DRAIN_RANGES = 4
+"""A drained server with this many ranges gives them away whole. Otherwise each round in which all
+servers are replaced would multiply the ranges, and each range is renewed separately."""
 
 MAX_MOVES = 8
-"""Moves decided at once for balance: a range that turned hot may take several servers at once."""
+"""Overload moves decided at once: a range that became hot may need several servers at once."""
 
-MAX_EVEN_MOVES = 4
-SERVERS_FOR_EACH_EVEN_MOVE = 6
-"""Moves decided at once for evenness: so many, or one for each so many servers. Of 62 servers two
-thirds may be slow ones that were given as many keys as the others: with four moves in 1.5 s their
-requests would wait for 15 s."""
+MAX_REBALANCE_MOVES = 4
+SERVERS_PER_REBALANCE_MOVE = 6
+"""Rebalancing moves decided at once: at most MAX_REBALANCE_MOVES, or one for every
+SERVERS_PER_REBALANCE_MOVE servers if that is more. Two thirds of 62 servers may be slow ones with
+as many keys as the others: with four moves in 1.5 s their requests would wait for 15 s."""
 
 HOT_KEY_UTILISATION = 0.7
-"""A single key is hot when it keeps so much of its server busy: it cannot be cut."""
+"""A single key is hot when it uses this share of its server's slots: it cannot be split."""
 
 MIN_COVERED_S = 4.0
-"""Pressure is not judged before the window covers so much."""
+"""Pressure is not compared before the window covers this time."""
 
 MIN_SURPLUS = 0.15
-"""Differences of pressure below twice this are left alone."""
+"""Differences of pressure below twice this are ignored."""
 
 MAX_TARGET_LOAD = 0.55
-"""A server that uses more of its slots gets nothing for the sake of evenness, unless the servers do
-so in the mean."""
+"""Rebalancing moves nothing to a server that uses more of its slots, unless the mean is higher."""
 
 SLOW_RATIO = 1.4
-"""A server is slow when a request takes so many times as long as at the middle one."""
+"""A server is slow when a request takes this many times as long as at the median server."""
 
 SLOW_PENALTY = 0.5
-"""Pressure of a server at which requests take twice as long as at the middle one."""
+"""Pressure added to a server at which requests take twice as long as at the median one."""
 
 FASTER_RATIO = 1.25
-"""Such a key moves to a server that is so many times as fast."""
+"""A hot key moves only to a server that is this many times as fast."""
 
-AGAIN_FASTER_RATIO = 2.5
-"""And one that has moved by itself, again only to one that is so many times as fast: a server that
-is too busy measures slower than it is."""
+REPEAT_FASTER_RATIO = 2.5
+"""The same for a hot key that has already moved on its own: an overloaded server measures slower
+than it is."""
 
 MIN_ROOM = 0.1
-"""A server gets a part of a hot range only where so much of its slots is left up to its limit."""
+"""A server gets a part of a hot range only if this share of its slots is free below its limit."""
 
 
 class LoadBalancer:
-    """Decides from samples alone; nothing here sends or waits."""
+    """Computes range moves from a table and a window of sampled requests."""
 
     def __init__(self, table: OwnershipTable, window: LoadWindow) -> None:
         self._table = table
         self._window = window
-        self._cutter = RangeSplitter(window)
+        self._splitter = RangeSplitter(window)
 
     def drain_moves(
-        self, leavers: Mapping[str, str], stayers: Sequence[ServerCapacity]
+        self, to_drain: Mapping[str, str], targets: Sequence[ServerCapacity]
     ) -> list[RangeMove]:
-        """Return the moves that empty `leavers` (server and reason), to the best stayers."""
-        load = self._loads(stayers)
-        penalty = _penalties(stayers)
+        """Return moves of all ranges of `to_drain` (server: reason) to the best targets."""
+        load = self._loads(targets)
+        penalty = _penalties(targets)
         moves: list[RangeMove] = []
         for owned in self._table.ranges:
-            reason = leavers.get(owned.server_id)
-            if reason is None or not stayers:
+            reason = to_drain.get(owned.server_id)
+            if reason is None or not targets:
                 continue
-            for first, last in self._cutter.equal_parts(owned, self._parts_of(owned, stayers)):
+            for first, last in self._splitter.equal_parts(owned, self._part_count(owned, targets)):
                 target = min(
-                    stayers, key=lambda each: load[each.server_id] + penalty[each.server_id]
+                    targets, key=lambda each: load[each.server_id] + penalty[each.server_id]
                 )
                 hits = self._window.count_between(first, last) + 0.5
                 load[target.server_id] += self._utilisation(hits, target)
@@ -113,10 +112,10 @@
         limit: float,
         significance: float = SIGNIFICANCE,
     ) -> list[RangeMove]:
-        """Return moves from servers that are clearly too busy to fast ones with room.
+        """Return moves from servers that are clearly overloaded to fast ones with room.
 
-        :param limit: share of its slots below which a server is left alone.
-        :param significance: standard deviations of its sample that it has to be above the mean.
+        :param limit: share of its slots below which a server is not relieved.
+        :param significance: standard deviations of its sample by which it must exceed the mean.
         """
         if len(servers) < 2:
             return []
@@ -125,7 +124,7 @@
         capacity = {each.server_id: each for each in servers}
         moves: list[RangeMove] = []
         left = list(self._table.ranges)
-        hot = self._move_of_hot_key(servers, load, significance)
+        hot = self._hot_key_move(servers, load, significance)
         if hot is not None:
             return [hot]
         relieved: set[str] = set()
@@ -133,26 +132,26 @@
         for _ in range(MAX_MOVES):
             mean = sum(load.values()) / len(load)
             busiest = max(load, key=lambda each: load[each])
-            idlest = _with_room(load, penalty, level)
-            # A server that was found too busy is relieved until it no longer is.
+            target = _pick_target(load, penalty, level)
+            # A server found overloaded needs no significance for further moves in this decision.
             margin = 0.0 if busiest in relieved else significance
             if capacity[busiest].is_limited:
                 margin = min(margin, LIMITED_SIGNIFICANCE)
-            if not self._is_too_busy(load[busiest], mean, capacity[busiest], limit, margin):
+            if not self._is_overloaded(load[busiest], mean, capacity[busiest], limit, margin):
                 break
             relieved.add(busiest)
-            pair = (capacity[busiest], capacity[idlest])
-            move = self._move_of(*pair, self._wanted_hits(*pair, load, level), load, left)
+            pair = (capacity[busiest], capacity[target])
+            move = self._move_hits(*pair, self._wanted_hits(*pair, load, level), load, left)
             if move is None:
                 break
             moves.append(move)
         return moves
 
     def rebalance_moves(self, servers: Sequence[ServerCapacity]) -> list[RangeMove]:
-        """Return moves that even out the pressure on servers, as far as differences are clear.
+        """Return moves that even out the pressure on servers where differences are clear.
 
-        Pressure is the share of slots in use, and more on a server that is clearly slower than
-        most: while others have room, a request is answered sooner there.
+        Pressure is the share of slots in use, plus a penalty for a server that is clearly slower
+        than most: while others have room, they answer a request sooner.
         """
         if len(servers) < 2 or self._window.covered_s < MIN_COVERED_S:
             return []
@@ -163,7 +162,7 @@
         moves: list[RangeMove] = []
         left = list(self._table.ranges)
         most_load = max(MAX_TARGET_LOAD, sum(load.values()) / len(load))
-        for _ in range(max(MAX_EVEN_MOVES, len(servers) // SERVERS_FOR_EACH_EVEN_MOVE)):
+        for _ in range(max(MAX_REBALANCE_MOVES, len(servers) // SERVERS_PER_REBALANCE_MOVE)):
             loaded = [each for each in load if load[each] > 0]
             if not loaded:
                 break
@@ -174,7 +173,7 @@
                 break
             room = (most_load - load[target]) / self._utilisation(1.0, capacity[target])
             wanted_hits = min(surplus / self._utilisation(1.0, capacity[source]), room)
-            move = self._move_of(capacity[source], capacity[target], wanted_hits, load, left)
+            move = self._move_hits(capacity[source], capacity[target], wanted_hits, load, left)
             if move is None:
                 break
             pressure = {each: load[each] + penalty[each] for each in load}
@@ -183,17 +182,17 @@
 
     # ---- parts ----
 
-    def _parts_of(self, owned: OwnedRange, stayers: Sequence[ServerCapacity]) -> int:
-        """Return into how many parts a range of a leaving server is cut."""
+    def _part_count(self, owned: OwnedRange, targets: Sequence[ServerCapacity]) -> int:
+        """Return the number of parts into which a range of a drained server is split."""
         ranges = self._table.ranges_of(owned.server_id)
         busiest = max(
             ranges, key=lambda each: (self._window.count_between(each.first, each.last), each.width)
         )
-        if owned is not busiest or len(ranges) >= UNCUT_RANGES:
+        if owned is not busiest or len(ranges) >= WHOLE_DRAIN_RANGES:
             return 1
-        return min(LEAVER_PARTS, len(stayers))
+        return min(DRAIN_PARTS, len(targets))
 
-    def _is_too_busy(
+    def _is_overloaded(
         self, load: float, mean: float, server: ServerCapacity, limit: float, significance: float
     ) -> bool:
         if load < limit or load < OVERLOAD_RATIO * mean:
@@ -203,64 +202,64 @@
         return bool(hits - mean_hits > significance * hits**0.5)
 
     def _wanted_hits(
-        self, busiest: ServerCapacity, idlest: ServerCapacity, load: dict[str, float], level: float
+        self, busiest: ServerCapacity, target: ServerCapacity, load: dict[str, float], level: float
     ) -> float:
-        """Return the requests to move: no more than bring the idlest server to `level`.
+        """Return the requests to move: at most as many as bring `target` to `level`.
 
-        What one server cannot take goes to the next in the same decision. With no server below
-        `level` the two are evened out.
+        What one server has no room for goes to another in the same decision. If no server is below
+        `level`, the load of the two is evened out.
         """
-        per_hit = self._utilisation(1.0, idlest)
-        difference = load[busiest.server_id] - load[idlest.server_id]
+        per_hit = self._utilisation(1.0, target)
+        difference = load[busiest.server_id] - load[target.server_id]
         even = difference / (self._utilisation(1.0, busiest) + per_hit)
-        room = (level - load[idlest.server_id]) / per_hit
+        room = (level - load[target.server_id]) / per_hit
         wanted_hits = min(even, room) if room > 0 else even
         if not busiest.is_limited:
             return wanted_hits
         spare = (load[busiest.server_id] - KEPT_UTILISATION) / self._utilisation(1.0, busiest)
         return min(wanted_hits, spare / MAX_EXCESS_RATIO)
 
-    def _move_of(
+    def _move_hits(
         self,
         busiest: ServerCapacity,
-        idlest: ServerCapacity,
+        target: ServerCapacity,
         wanted_hits: float,
         load: dict[str, float],
         left: list[OwnedRange],
     ) -> RangeMove | None:
-        """Return the move of about `wanted_hits` of a server; its hottest range goes first.
+        """Return a move of about `wanted_hits` requests off a server, hottest range first.
 
-        :param left: what earlier moves of this decision have left of the ranges; is kept up.
+        :param left: ranges as earlier moves of this decision left them; is updated.
         """
         ranges = [each for each in left if each.server_id == busiest.server_id and not each.former]
         ranges.sort(key=lambda each: -self._window.count_between(each.first, each.last))
         for owned in ranges:
-            piece = self._cutter.part_for_load(owned, wanted_hits)
+            piece = self._splitter.part_for_load(owned, wanted_hits)
             if piece is None:
                 continue
             left.remove(owned)
-            left.extend(_rest(owned, *piece))
+            left.extend(_remainder(owned, *piece))
             hits = self._window.count_between(*piece)
             load[busiest.server_id] -= self._utilisation(hits, busiest)
-            load[idlest.server_id] += self._utilisation(hits, idlest)
-            return RangeMove(*piece, busiest.server_id, idlest.server_id, "load")
+            load[target.server_id] += self._utilisation(hits, target)
+            return RangeMove(*piece, busiest.server_id, target.server_id, "load")
         return None
 
-    def _move_of_hot_key(
+    def _hot_key_move(
         self, servers: Sequence[ServerCapacity], load: Mapping[str, float], significance: float
     ) -> RangeMove | None:
-        """Return the move of a key that alone is too much for its server to a much faster one."""
+        """Return the move of a key that overloads its server on its own to a much faster one."""
         capacity = {each.server_id: each for each in servers}
         for owned in self._table.ranges:
             server = capacity.get(owned.server_id)
             if server is None or owned.former or load[owned.server_id] < MIN_UTILISATION:
                 continue
-            key, hits = self._cutter.hottest_key(owned)
+            key, hits = self._splitter.hottest_key(owned)
             is_doubtful = hits < significance**2
             if is_doubtful or self._utilisation(hits, server) < HOT_KEY_UTILISATION:
                 continue
             fastest = max(servers, key=lambda each: each.usable_per_s)
-            ratio = AGAIN_FASTER_RATIO if owned.width == 1 else FASTER_RATIO
+            ratio = REPEAT_FASTER_RATIO if owned.width == 1 else FASTER_RATIO
             if fastest.usable_per_s > ratio * server.usable_per_s:
                 return RangeMove(key, key, owned.server_id, fastest.server_id, "hot_key")
         return None
@@ -273,15 +272,15 @@
         return utilisation(hits, server, self._window)
 
 
-def _rest(owned: OwnedRange, first: int, last: int) -> list[OwnedRange]:
-    """Return what is left of a range when the keys `first` to `last` are taken out of it."""
+def _remainder(owned: OwnedRange, first: int, last: int) -> list[OwnedRange]:
+    """Return the parts of a range without the keys `first` to `last`."""
     before = [replace(owned, last=first - 1)] if owned.first < first else []
     after = [replace(owned, first=last + 1)] if last < owned.last else []
     return [*before, *after]
 
 
-def _with_room(load: Mapping[str, float], penalty: Mapping[str, float], level: float) -> str:
-    """Return the server to which a part of a hot range goes: of those with room a fast one."""
+def _pick_target(load: Mapping[str, float], penalty: Mapping[str, float], level: float) -> str:
+    """Return the server for a part of a hot range: a fast one of those with room."""
     with_room = [each for each in load if load[each] < level - MIN_ROOM]
     if not with_room:
         return min(load, key=lambda each: load[each])
@@ -289,7 +288,7 @@
 
 
 def _penalties(servers: Sequence[ServerCapacity]) -> dict[str, float]:
-    """Return the pressure that slowness adds, by server; a limit makes none slow."""
+    """Return the pressure that slowness adds, by server; limits do not count as slowness."""
     times = {each.server_id: each.slots / each.requests_per_s for each in servers}
     if not times:
         return {}
--- a/indigoworks/ownership/load_window.py
+++ b/indigoworks/ownership/load_window.py
@@ -1,4 +1,4 @@
-"""Requests by key within a short time."""
+"""Sliding window of sampled requests by key."""
 
 from bisect import bisect_left, bisect_right
 from collections import deque
@@ -17,7 +17,7 @@
 
 
 class LoadWindow:
-    """Sampled keys of one service within the last `length_s` seconds."""
+    """Sampled request keys of one service in the last `length_s` seconds."""
 
     def __init__(self, length_s: float, clock: Clock) -> None:
         self._length_s = length_s
@@ -28,7 +28,7 @@
         self._sorted: list[tuple[int, float]] | None = None
 
     def add(self, sample: KeySample) -> None:
-        """Add the keys of one report; each counts for those that were not sampled."""
+        """Add the keys of one report, each weighted to stand for unsampled requests too."""
         if not sample.keys:
             return
         weight = sample.total / len(sample.keys)
@@ -52,11 +52,11 @@
 
     @property
     def traffic_s(self) -> float:
-        """Return the seconds since the first request came: before it nothing was to be seen."""
+        """Return the seconds since the first sampled request; 0: there was none."""
         return 0.0 if self._first_hit_s is None else self._clock.now() - self._first_hit_s
 
     def hits_between(self, first: int, last: int) -> list[tuple[int, float]]:
-        """Return (key, requests) of each sample from `first` to `last`, by key."""
+        """Return (key, requests) of each sample from `first` to `last`, sorted by key."""
         ordered = self._ordered()
         start = bisect_left(ordered, (first, 0.0))
         end = bisect_right(ordered, (last, float("inf")))
--- a/indigoworks/ownership/log_throttle.py
+++ b/indigoworks/ownership/log_throttle.py
@@ -1,24 +1,24 @@
-"""A line of the log that may come too often."""
+"""Limits the rate of a log line."""
 
 from indigoworks.common.clock import Clock
 
 LINE_PERIOD_S = 5.0
-"""Time between two lines at least; what came meanwhile is counted."""
+"""Shortest time between two lines; events in between are counted."""
 
 
 class LogThrottle:
-    """Tells when a line is due: at once the first time, then at most once in a period."""
+    """Decides when a log line is due: at the first event, then at most once a period."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._told_s = float("-inf")
+        self._logged_s = float("-inf")
         self._count = 0
 
     def count_event(self) -> int | None:
-        """Count an event; returns how many the line stands for, or None: it is not due."""
+        """Count an event; returns the count for a line that is due, or None: none is due."""
         self._count += 1
-        if self._clock.now() - self._told_s < LINE_PERIOD_S:
+        if self._clock.now() - self._logged_s < LINE_PERIOD_S:
             return None
-        self._told_s = self._clock.now()
+        self._logged_s = self._clock.now()
         count, self._count = self._count, 0
         return count
--- a/indigoworks/ownership/moves_by_load.py
+++ b/indigoworks/ownership/moves_by_load.py
@@ -1,4 +1,4 @@
-"""Moves by load, each kind by the window that shows what it goes by."""
+"""Range moves because of load, decided on load windows of different lengths."""
 
 from collections.abc import Sequence
 
@@ -19,10 +19,10 @@
 def overload_moves(
     table: OwnershipTable, load: GroupLoad, servers: Sequence[ServerCapacity]
 ) -> list[RangeMove]:
-    """Return the moves that relieve servers which are too busy; empty: none is.
+    """Return moves that relieve overloaded servers; empty: none is overloaded.
 
-    The shortest window that leaves no doubt decides: a longer one, which also holds the time before
-    keys turned hot, shows too little of their load, and too small a part of them would move.
+    The shortest window with a significant result decides. A longer one also covers the time before
+    keys became hot and underestimates their load, so that too small a part of them would move.
     """
     windows = (
         (load.burst(table.service), BURST_SIGNIFICANCE),
@@ -39,10 +39,10 @@
 def rebalance_moves(
     table: OwnershipTable, load: GroupLoad, servers: Sequence[ServerCapacity]
 ) -> list[RangeMove]:
-    """Return the moves that even servers out; empty: they are even, or too little was seen.
+    """Return moves that even out load; empty: it is even, or there is too little traffic to tell.
 
-    Before MIN_COVERED_S of traffic neither the load of servers nor their speed is known: what moves
-    then moves by chance.
+    Before MIN_COVERED_S of traffic neither the load nor the speed of servers is known, and moves
+    would be random.
     """
     window = load.slow(table.service)
     if window.traffic_s < MIN_COVERED_S:
@@ -51,5 +51,5 @@
 
 
 def moves_outside(moves: Sequence[RangeMove], kept: Sequence[OwnedRange]) -> list[RangeMove]:
-    """Return the moves that take no key out of the ranges that are to be kept."""
+    """Return the moves that take no key out of the ranges in `kept`."""
     return [each for each in moves if not any(each.takes_from(owned) for owned in kept)]
--- a/indigoworks/ownership/order_outcome.py
+++ b/indigoworks/ownership/order_outcome.py
@@ -1,33 +1,33 @@
-"""What became of an order to a server."""
+"""Outcome of an order to a server."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class OrderResult(Enum):
-    """Ways in which an order ends."""
+    """Results of an order."""
 
     DONE = "done"
     FENCED = "fenced"
     """The server has seen a higher token on one of the keys; nothing was done."""
     REFUSED = "refused"
-    """The server did not take the order for another reason; nothing was done."""
+    """The server rejected the order for another reason; nothing was done."""
     NOT_SENT = "not_sent"
-    """No connection came about: the order certainly did not reach any server."""
+    """No connection was established: the order certainly did not reach any server."""
     REFUSED_CONNECTION = "refused_connection"
-    """The connection was refused: the order did not reach any server. Nobody listens there,
-    or a path that is cut refuses in its stead."""
+    """The connection was refused: the order did not reach any server. No process listens there, or
+    the network refuses in its place."""
     WITHHELD = "withheld"
-    """The sender itself may no longer send: the order certainly did not reach any server, which
-    says nothing of the server."""
+    """The sender was no longer allowed to send: the order certainly did not reach any server, and
+    this says nothing about the server."""
     OTHER_SERVER = "other_server"
-    """Whoever answers at the address did not take the order because it is meant for another."""
+    """A server at the address rejected the order as meant for another server."""
     UNANSWERED = "unanswered"
-    """It may have been carried out, or may be so seconds later."""
+    """The order may have been applied, or may be applied seconds later."""
 
     @property
     def is_answer(self) -> bool:
-        """Tell whether somebody at the server's address answered."""
+        """Return whether some process at the server's address answered."""
         return self not in (
             OrderResult.NOT_SENT,
             OrderResult.REFUSED_CONNECTION,
@@ -40,8 +40,8 @@
 class OrderOutcome:
     """Result of a grant or release.
 
-    :ivar handover: comes with a release that was done.
-    :ivar answering_id: server that answered, by its own word; None: it did not say.
+    :ivar handover: data for the next owner; only with a release that was done.
+    :ivar answering_id: id that the answering server gave for itself; None: it gave none.
     """
 
     result: OrderResult
@@ -49,6 +49,6 @@
     answering_id: str | None = None
 
     def is_from_other(self, server_id: str) -> bool:
-        """Tell whether another server names itself at the address of the one that was meant."""
+        """Return whether another server with an id of its own answered at the server's address."""
         is_named = self.answering_id is not None and self.answering_id != server_id
         return self.result is OrderResult.OTHER_SERVER and is_named
--- a/indigoworks/ownership/order_tracker.py
+++ b/indigoworks/ownership/order_tracker.py
@@ -1,4 +1,4 @@
-"""Which orders are under way or were left unanswered, and the lines of the log on them."""
+"""Tracks orders in flight or unanswered, and logs them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,54 +15,52 @@
 from indigoworks.ownership.unanswered_orders import UnansweredOrders
 
 OLD_PROOF_S = 3.0
-"""An order that is sent or answered with an older proof of leadership is told of."""
+"""An order that is sent or answered with an older proof of leadership is logged."""
 
 
 class OrderTracker:
-    """Follows each order from its sending to its end; it decides nothing."""
+    """Tracks each order from its sending to its end, for the log only."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._under_way: list[SentOrder] = []
+        self._in_flight: list[SentOrder] = []
         self._unanswered = UnansweredOrders()
         self._silences: dict[str, ServerSilence] = {}
         self._old_proof = {each: LogThrottle(clock) for each in ("sent", "ended")}
 
     @contextmanager
     def track(self, order: SentOrder, proof: LeaderProof) -> Iterator[SentOrder]:
-        """Follow an order; its result is to be set before the block ends."""
-        self._under_way.append(order)
-        self._note_proof("sent", order, proof)
+        """Track an order while the block runs; the block must set its result."""
+        self._in_flight.append(order)
+        self._log_old_proof("sent", order, proof)
         try:
             yield order
         finally:
-            self._under_way = [each for each in self._under_way if each is not order]
-            self._note_end(order, proof)
+            self._in_flight = [each for each in self._in_flight if each is not order]
+            self._record_end(order, proof)
 
-    # ---- questions ----
+    # ---- counts ----
 
-    def under_way(self) -> int:
-        """Return how many orders are under way."""
-        return len(self._under_way)
+    def in_flight_count(self) -> int:
+        """Return the number of orders in flight."""
+        return len(self._in_flight)
 
-    def unanswered(self) -> int:
-        """Return how many orders of late were given up without an answer."""
+    def unanswered_count(self) -> int:
+        """Return the number of recent orders that were given up without an answer."""
         self._unanswered.drop_old(self._clock.now())
         return self._unanswered.count()
 
     def open_on_keys(
         self, kind: str, server_id: str, first: int, last: int
     ) -> tuple[int, float | None]:
-        """Return how many orders of a kind on keys a server has not answered, and the age of the
-        oldest.
-
-        Those that are under way count.
+        """Return how many orders of a kind on any of the keys a server has not answered, including
+        those in flight, and the age of the oldest.
         """
         self._unanswered.drop_old(self._clock.now())
         count, oldest_s = self._unanswered.on_keys(kind, server_id, first, last)
         sent_s = [
             each.sent_s
-            for each in self._under_way
+            for each in self._in_flight
             if (each.kind, each.server_id) == (kind, server_id)
             and each.first <= last
             and first <= each.last
@@ -72,16 +70,16 @@
         age_s = round(self._clock.now() - min(sent_s), 3) if sent_s else None
         return count + len(sent_s) - (oldest_s is not None), age_s
 
-    # ---- ends ----
+    # ---- results ----
 
-    def _note_end(self, order: SentOrder, proof: LeaderProof) -> None:
+    def _record_end(self, order: SentOrder, proof: LeaderProof) -> None:
         if order.result is None or order.result is OrderResult.UNANSWERED:
-            self._note_unanswered(order, proof)
+            self._record_unanswered(order, proof)
         elif order.result.is_answer:
-            self._note_answer(order.server_id)
-            self._note_proof("ended", order, proof)
+            self._record_answer(order.server_id)
+            self._log_old_proof("ended", order, proof)
 
-    def _note_unanswered(self, order: SentOrder, proof: LeaderProof) -> None:
+    def _record_unanswered(self, order: SentOrder, proof: LeaderProof) -> None:
         self._unanswered.drop_old(self._clock.now())
         self._unanswered.add(order)
         silence = self._silences.get(order.server_id)
@@ -93,7 +91,7 @@
             is_cancelled = order.result is None
             self._log("order:unanswered", order, proof, count=count, is_cancelled=is_cancelled)
 
-    def _note_answer(self, server_id: str) -> None:
+    def _record_answer(self, server_id: str) -> None:
         silence = self._silences.pop(server_id, None)
         if silence is not None:
             log_message(
@@ -104,7 +102,7 @@
                 silent_s=round(self._clock.now() - silence.began_s, 3),
             )
 
-    def _note_proof(self, moment: str, order: SentOrder, proof: LeaderProof) -> None:
+    def _log_old_proof(self, moment: str, order: SentOrder, proof: LeaderProof) -> None:
         if proof.proof_age_s() <= OLD_PROOF_S and proof.state() is LeaderState.LEADS:
             return
         count = self._old_proof[moment].count_event()
--- a/indigoworks/ownership/owned_range.py
+++ b/indigoworks/ownership/owned_range.py
@@ -7,8 +7,8 @@
 class FormerOwner:
     """A server that may still hold keys of a range under a lower token.
 
-    Until when it may is no matter of the row: readings of a clock that all gateways share say
-    nothing once it has jumped, and nobody who reads the row can know that it has.
+    The row does not say until when: that would be a reading of a clock that all gateways share. It
+    means nothing after that clock has jumped, and a reader of the row cannot detect a jump.
     """
 
     server_id: str
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedRange:
-    """Keys `first` to `last` (both inside) belong to one server under one fencing token.
+    """Keys `first` to `last` (inclusive), owned by one server under one fencing token.
 
     :ivar former: servers that may still hold keys of the range under lower tokens. The owner is
-        granted the range only when each of them is ruled out.
+        granted the range only when each of them has been ruled out.
     """
 
     first: int
@@ -29,7 +29,7 @@
     former: tuple[FormerOwner, ...] = ()
 
     def holds(self, key: int) -> bool:
-        """Tell whether `key` lies inside."""
+        """Return whether `key` is in the range."""
         return self.first <= key <= self.last
 
     @property
--- a/indigoworks/ownership/owner_candidates.py
+++ b/indigoworks/ownership/owner_candidates.py
@@ -1,4 +1,4 @@
-"""Which servers lose their ranges, and which may be given some."""
+"""Selects the servers that lose their ranges, and those that may be given some."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class OwnerCandidates:
-    """Looks at the servers of a service as owners of its ranges."""
+    """Judges the servers of a service as owners of its ranges."""
 
     def __init__(
         self,
@@ -29,35 +29,37 @@
         self._speed_of = speed_of
 
     def servers_to_drain(self, table: OwnershipTable) -> dict[str, str]:
-        """Return the owners that are to lose their ranges, with the reason."""
-        leavers: dict[str, str] = {}
+        """Return the owners that are to lose all their ranges, each with the reason."""
+        to_drain: dict[str, str] = {}
         for owned in table.ranges:
             if not self._servers.is_usable(owned.server_id):
-                leavers[owned.server_id] = "leaving"
+                to_drain[owned.server_id] = "leaving"
             elif self._reach.is_lost(owned.server_id):
-                leavers[owned.server_id] = "out_of_reach"
-        return leavers
+                to_drain[owned.server_id] = "out_of_reach"
+        return to_drain
 
-    def capacities(self, service: str, leavers: dict[str, str]) -> list[ServerCapacity]:
-        """Return the servers that may be given keys: not cold ones, unless all are, and none that
-        asked for rest.
+    def capacities(self, service: str, to_drain: dict[str, str]) -> list[ServerCapacity]:
+        """Return the servers that may be given keys: none that rest, and cold ones only if all are.
 
-        A cold server falls over at little more than half of its usual load, and one that turns all
-        away has no load and looks idle.
+        A cold server is overloaded by little more than half of its usual load. A resting one that
+        refuses all requests has no load and would look idle.
         """
-        stayers = [
+        remaining = [
             each
             for each in self._servers.usable(service)
-            if each.server_id not in leavers
+            if each.server_id not in to_drain
             and not self._reach.is_suspect(each.server_id)
             and not self._resting.is_resting(each.server_id)
         ]
-        warm = [each for each in stayers if not self._servers.is_cold(each.server_id)]
-        return [self._capacity(each) for each in warm or stayers]
+        warm = [each for each in remaining if not self._servers.is_cold(each.server_id)]
+        return [self._capacity(each) for each in warm or remaining]
 
     def _capacity(self, server: ServerRecord) -> ServerCapacity:
-        """Return what a server can do; one that names a limit keeps the keys that it can serve, so
-        that its answers go on to tell of the limit."""
+        """Return the capacity of a server.
+
+        A server that names a limit keeps the keys that it can serve, so that its answers go on to
+        report the limit.
+        """
         limit_per_s = self._servers.limit_per_s(server.server_id)
         return ServerCapacity(
             server.server_id,
--- a/indigoworks/ownership/ownership_table.py
+++ b/indigoworks/ownership/ownership_table.py
@@ -1,4 +1,4 @@
-"""All ranges of one service."""
+"""The table of key ranges and their owners of one service."""
 
 import json
 from bisect import bisect_right
@@ -9,15 +9,15 @@
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
 KEY_COUNT = 65536
-"""Keys of a service: whole numbers from 0."""
+"""Number of keys of a service; keys are integers from 0."""
 
 
 @dataclass(frozen=True)
 class OwnershipTable:
-    """Ranges in the order of their keys; together they cover all keys or are empty.
+    """Ranges sorted by key; they cover all keys, or the table is empty.
 
-    :ivar highest_token: above or equal to every token that any range of the service ever had.
-    :ivar version: version of the row that holds this table; NO_VERSION where there is none.
+    :ivar highest_token: at least every token that any range of the service ever had.
+    :ivar version: version of the row that holds this table; NO_VERSION: there is no row yet.
     """
 
     service: str
@@ -30,7 +30,7 @@
         object.__setattr__(self, "_firsts", [each.first for each in self.ranges])
 
     def find(self, key: int) -> OwnedRange | None:
-        """Return the range that holds `key`; None where the table has none."""
+        """Return the range that holds `key`; None: the table is empty."""
         index = bisect_right(self._firsts, key) - 1
         if index < 0 or not self.ranges[index].holds(key):
             return None
@@ -76,5 +76,5 @@
 
 
 def _read_former(entries: list[list[Any]]) -> tuple[FormerOwner, ...]:
-    """Read former owners; a release that wrote a bound after the id is not to be gone by."""
+    """Decode former owners; a bound after the id, as an older version wrote it, is ignored."""
     return tuple(FormerOwner(entry[0]) for entry in entries)
--- a/indigoworks/ownership/ownership_tables.py
+++ b/indigoworks/ownership/ownership_tables.py
@@ -1,4 +1,4 @@
-"""The tables of owners of all services, as this process follows them."""
+"""This process's copy of the ownership tables of all services."""
 
 from collections.abc import Sequence
 
@@ -10,18 +10,18 @@
 from indigoworks.rowstore.row import Row
 
 OWNERS_PREFIX = "owners/"
-"""Keys of the rows that hold tables of owners, before the name of the service."""
+"""Prefix of the keys of ownership table rows; the name of the service follows."""
 
 
 class OwnershipTables:
-    """Newest table of each service, and the ranges that the leader calls pending."""
+    """Newest table of each service, and the ranges that the leader reports as pending."""
 
     def __init__(self) -> None:
         self._tables: dict[str, OwnershipTable] = {}
         self._pending: dict[str, tuple[PendingRange, ...]] = {}
 
     def apply(self, rows: Sequence[Row]) -> bool:
-        """Take rows; those of other kinds are passed over. Returns whether any table changed."""
+        """Apply ownership rows and ignore others; returns whether any table changed."""
         is_changed = False
         for row in rows:
             if row.key.startswith(OWNERS_PREFIX) and not row.is_removed:
@@ -29,34 +29,34 @@
         return is_changed
 
     def table(self, service: str) -> OwnershipTable:
-        """Return the table of a service; an empty one where there is none."""
+        """Return the table of a service; an empty one if none is known."""
         return self._tables.get(service) or OwnershipTable.empty(service)
 
     def has_tables_of(self, era: int) -> bool:
-        """Tell whether any table of an era of the store is known."""
+        """Return whether any table of an era of the store is known."""
         return any(each.ranges and each.version.era == era for each in self._tables.values())
 
     def find(self, service: str, key: int) -> OwnedRange | None:
-        """Return the range that holds a key."""
+        """Return the range that holds a key; None: no table is known."""
         table = self._tables.get(service)
         return None if table is None else table.find(key)
 
     def apply_beat(self, beat: LeaderBeat) -> None:
-        """Take the pending ranges of the leader's newest beat."""
+        """Replace the pending ranges by those of the leader's newest beat."""
         pending: dict[str, list[PendingRange]] = {}
         for each in beat.pending:
             pending.setdefault(each.service, []).append(each)
         self._pending = {service: tuple(ranges) for service, ranges in pending.items()}
 
     def is_pending(self, service: str, owned: OwnedRange) -> bool:
-        """Tell whether the leader said that the range is not granted yet."""
+        """Return whether the leader reports that the range is not granted yet."""
         return any(
             each.token == owned.token and each.first <= owned.last and owned.first <= each.last
             for each in self._pending.get(service, ())
         )
 
     def put(self, table: OwnershipTable) -> None:
-        """Take a table that this process itself has written."""
+        """Add a table that this process itself has written."""
         known = self._tables.get(table.service)
         if known is None or known.version < table.version:
             self._tables[table.service] = table
--- a/indigoworks/ownership/range_keeper.py
+++ b/indigoworks/ownership/range_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps one range granted to its owner; one task a range."""
+"""Keeps one range granted to its owner, in a task of its own."""
 
 import asyncio
 import zlib
@@ -25,18 +25,18 @@
 MIN_PAUSE_S = 0.001
 """Shortest pause between two renewals."""
 
-RETRY_S = 0.15
+RETRY_DELAY_S = 0.15
 """Pause before an order is sent again."""
 
 
 class RangeKeeper:
     """Rules out former owners, grants the range, and renews the grant.
 
-    Before each order it asks whether this process may still act as leader: one that slept or was
-    cut off sends nothing more.
+    Before each order it checks whether this process may still act as leader: a process that was
+    paused or cut off sends nothing more.
 
     :ivar is_granted: the owner has answered a grant of this range.
-    :ivar needs_token: the owner has seen a higher token: the range needs a new one.
+    :ivar needs_token: the owner has seen a higher token, so the range needs a new one.
     """
 
     def __init__(
@@ -69,29 +69,29 @@
         self.is_granted = False
         self.needs_token = False
         self.task: asyncio.Task[None] | None = None
-        self._is_quiet = self._is_passing = False
-        self._is_reached = False
+        self._is_quiesced = self._is_first_grant = False
+        self._has_answered = False
         self._last_result: OrderResult | None = None
-        self._no_order = asyncio.Event()
-        self._no_order.set()
+        self._no_grant_in_flight = asyncio.Event()
+        self._no_grant_in_flight.set()
 
     @property
     def needs_fence(self) -> bool:
-        """Tell whether the owner answers again after it left a grant of these keys unanswered.
+        """Return whether the owner answers again after it left a grant of these keys unanswered.
 
-        Under a new token the owner refuses the one that it may still take late.
+        Once it has a grant under a new token, it refuses the unanswered one.
         """
-        return self.is_granted and self._is_reached and self._may_be_late()
+        return self.is_granted and self._has_answered and self._may_apply_late()
 
-    def _may_be_late(self) -> bool:
+    def _may_apply_late(self) -> bool:
         return self._bounds.may_apply_late(self.owned.server_id, self.owned.first, self.owned.last)
 
     @property
     def return_move(self) -> RangeMove | None:
-        """Return the move of the range back to a server that answers; None: it is not to be made.
+        """Return the move of the range back to a former owner that answers; None: not needed.
 
-        The server has released the keys and may take an earlier grant late. As their owner it
-        serves them, and its answer to a grant under a new token rules the late one out.
+        That server has released the keys and may apply an earlier grant late. As their owner it can
+        serve them, and its answer to a grant under a new token rules out the late one.
         """
         server_id = self._former.late_grant_server_id
         if self.is_granted or server_id is None:
@@ -102,27 +102,27 @@
     def start(self, is_granted: bool) -> None:
         """Start the task; `is_granted`: the owner already holds the range under its token."""
         self.is_granted = is_granted
-        self._is_passing = not is_granted
+        self._is_first_grant = not is_granted
         self.task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End the task; an order that is under way counts as not answered."""
+        """End the task; a grant in flight counts as unanswered."""
         self._reach.forget_sender(self.owned.server_id, self)
         if self.task is not None:
             self.task.cancel()
 
     async def quiesce(self) -> None:
-        """Send no further grant; returns when none is under way.
+        """Stop sending grants; returns when none is in flight.
 
-        Before the row takes the range from its owner, the bound of the owner's hold must stand.
+        The bound of the owner's hold must be known before the row takes the range away from it.
         """
-        self._is_quiet = True
-        await self._no_order.wait()
+        self._is_quiesced = True
+        await self._no_grant_in_flight.wait()
         self._reach.forget_sender(self.owned.server_id, self)
 
     def resume(self) -> None:
-        """Renew again: the row leaves the range with its owner."""
-        self._is_quiet = False
+        """Resume renewals: the row leaves the range with its owner."""
+        self._is_quiesced = False
 
     async def renew(self) -> OrderResult | None:
         """Renew the grant once, and return the result; None: nothing was sent."""
@@ -134,7 +134,7 @@
         return self._last_result
 
     async def release_from(self, server_id: str) -> bool:
-        """Have a server release the range; False where it did not answer that it has."""
+        """Send a server a release of the range; returns whether that rules it out."""
         return await self._former.release(server_id) is not None
 
     async def _run(self) -> None:
@@ -147,24 +147,24 @@
     # ---- the owner ----
 
     async def _grant(self) -> float:
-        """Send a grant or renewal in its turn; returns the pause until the next, in seconds."""
+        """Send a grant or renewal under the server's lock; returns the pause until the next."""
         async with self._reach.grant_lock(self.owned.server_id):
             return await self._grant_in_turn()
 
     async def _grant_in_turn(self) -> float:
         record = self._servers.get(self.owned.server_id)
         if record is None:
-            return RETRY_S
+            return RETRY_DELAY_S
         if not self._may_send() or not self._reach.may_grant(self.owned.server_id, self):
-            return RETRY_S
+            return RETRY_DELAY_S
         hold_s = self._policy.hold_s(self._reach.is_doubtful(self.owned.server_id))
         grant = KeyGrant(
             self.owned.first, self.owned.last, self.owned.token, hold_s, self._former.handover
         )
         self._bounds.record_sent(self.owned, hold_s, ORDER_TIMEOUT_S)
-        self._no_order.clear()
-        if self._is_passing:
-            self._is_passing = False
+        self._no_grant_in_flight.clear()
+        if self._is_first_grant:
+            self._is_first_grant = False
             self._log.log_transfer()
         try:
             with self._log.track_order(
@@ -176,16 +176,16 @@
             self._bounds.record_unanswered(self.owned)
             raise
         finally:
-            self._no_order.set()
-        return self._note_outcome(outcome, hold_s)
+            self._no_grant_in_flight.set()
+        return self._record_outcome(outcome, hold_s)
 
     def _may_send(self) -> bool:
-        return not self._is_quiet and self._leadership.may_act()
+        return not self._is_quiesced and self._leadership.may_act()
 
-    def _note_outcome(self, outcome: OrderOutcome, hold_s: float) -> float:
+    def _record_outcome(self, outcome: OrderOutcome, hold_s: float) -> float:
         result = self._last_result = outcome.result
         self._reach.record_result(self.owned.server_id, result, self)
-        self._is_reached = result is OrderResult.DONE
+        self._has_answered = result is OrderResult.DONE
         if result is OrderResult.DONE:
             self._bounds.record_answered(self.owned, hold_s)
             if not self.is_granted:
@@ -209,12 +209,12 @@
             self.is_granted = False
             self._log.log("range:fenced", level="WARNING")
             return RENEWAL_S
-        return RETRY_S
+        return RETRY_DELAY_S
 
     def _until_renewal_s(self) -> float:
-        """Return the pause until the next renewal: the ranges of a server are renewed together."""
+        """Return the pause until the next renewal; all ranges of a server are renewed together."""
         phase_s = zlib.crc32(self.owned.server_id.encode()) % 1000 / 1000 * RENEWAL_S
         left_s = RENEWAL_S - (self._clock.now() - phase_s) % RENEWAL_S
-        # Rounding may leave less than the clock can count: the same instant would come again and
-        # again where time passes only in sleeps.
+        # After rounding, the pause may be below the clock's resolution: in simulations, where time
+        # passes only in sleeps, this would loop at the same instant for ever.
         return max(MIN_PAUSE_S, left_s)
--- a/indigoworks/ownership/range_log.py
+++ b/indigoworks/ownership/range_log.py
@@ -1,4 +1,4 @@
-"""Lines of the log on one range: who may hold its keys, and by what that is known."""
+"""Log lines on one range: which servers may hold its keys, and how that is known."""
 
 from contextlib import AbstractContextManager
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class _Passing:
+class _FormerOwnerRecord:
     """What was known of a former owner when it was ruled out.
 
     :ivar own_until_s: latest end of what this process granted to it.
@@ -33,7 +33,7 @@
 
 
 class RangeLog:
-    """Writes the lines of one range keeper; it decides nothing."""
+    """Writes the log lines of one range keeper; nothing is decided by it."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
         self._bounds = bounds
         self._orders = orders
         self._clock = clock
-        self._passings: dict[str, _Passing] = {}
+        self._records: dict[str, _FormerOwnerRecord] = {}
 
     def track_order(
         self, kind: str, server_id: str, token: int, timeout_s: float, hold_s: float | None = None
     ) -> AbstractContextManager[SentOrder]:
-        """Follow an order that is about to be sent; its result is to be set inside."""
+        """Track an order that is about to be sent; the block must set its result."""
         order = SentOrder(
             kind,
             self._service,
@@ -73,40 +73,40 @@
     # ---- former owners ----
 
     def record_bounds(self, former: FormerOwner) -> None:
-        """Take note of the bounds of a former owner's holds, before an answer closes them."""
-        passing = self._passings.setdefault(former.server_id, _Passing(self._clock.now()))
+        """Record the bounds of a former owner's holds, before an answer removes them."""
+        record = self._records.setdefault(former.server_id, _FormerOwnerRecord(self._clock.now()))
         until_s, token = self._bounds.last_grant(former.server_id, *self._keys())
-        passing.own_until_s = until_s
-        passing.token = passing.token if token is None else token
-        passing.predecessor_until_s = self._bounds.predecessor_until_s
-        passing.tries += 1
+        record.own_until_s = until_s
+        record.token = record.token if token is None else token
+        record.predecessor_until_s = self._bounds.predecessor_until_s
+        record.tries += 1
 
     def expired_bound(self, server_id: str) -> TransferProof:
         """Return which of this process's and its predecessor's bounds ended last."""
-        passing = self._passings[server_id]
+        record = self._records[server_id]
         bounds_s = {
-            TransferProof.PREDECESSOR_BOUND: passing.predecessor_until_s,
-            TransferProof.OWN_BOUND: passing.own_until_s,
+            TransferProof.PREDECESSOR_BOUND: record.predecessor_until_s,
+            TransferProof.OWN_BOUND: record.own_until_s,
         }
-        # Of its own grants of earlier epochs a leader may know while its rules go by other bounds.
+        # A leader may know of its own grants in earlier epochs, which its bounds no longer include.
         ended = [each for each in bounds_s if float("-inf") < bounds_s[each] < self._clock.now()]
         return max(ended, key=lambda each: bounds_s[each], default=TransferProof.NO_BOUND)
 
     def log_ruled_out(self, former: FormerOwner, proof: TransferProof) -> None:
-        """Tell that a former owner holds no key of the range any more."""
-        passing = self._passings[former.server_id]
-        passing.proof = proof
-        passing.proved_s = self._clock.now()
+        """Log that a former owner no longer holds a key of the range."""
+        record = self._records[former.server_id]
+        record.proof = proof
+        record.proved_s = self._clock.now()
         self.log(
             "range:former_ruled_out",
             former=former.server_id,
             reason=proof.value,
-            took_s=round(passing.proved_s - passing.began_s, 3),
-            tries=passing.tries - 1,
+            took_s=round(record.proved_s - record.began_s, 3),
+            tries=record.tries - 1,
         )
 
     def log_wait(self, former: FormerOwner, is_listed: bool) -> None:
-        """Tell for what the range has waited long."""
+        """Log what the range has been waiting for."""
         bound_s = self._bounds.until_s(former.server_id, *self._keys())
         own_s = self._bounds.own_until_s(former.server_id, *self._keys())
         self.log(
@@ -120,35 +120,35 @@
     # ---- the owner ----
 
     def log_transfer(self) -> None:
-        """Tell that the first grant to the owner is sent: one line for each former owner."""
+        """Log that the first grant to the owner is sent, in one line for each former owner."""
         for former in self._owned.former:
             if former.server_id != self._owned.server_id:
-                if former.server_id not in self._passings:
+                if former.server_id not in self._records:
                     self.record_bounds(former)
-                self._log_passed(former, self._passings[former.server_id])
+                self._log_former_owner(former, self._records[former.server_id])
 
-    def _log_passed(self, former: FormerOwner, passing: _Passing) -> None:
+    def _log_former_owner(self, former: FormerOwner, record: _FormerOwnerRecord) -> None:
         now_s = self._clock.now()
         grants, oldest_s = self._orders.open_on_keys("grant", former.server_id, *self._keys())
         releases, _ = self._orders.open_on_keys("release", former.server_id, *self._keys())
-        bound_of, bound_epoch = self._bound_of(passing.proof)
+        bound_of, bound_epoch = self._bound_of(record.proof)
         self.log(
             "range:passed",
             former=former.server_id,
-            former_token=passing.token,
-            proof="none" if passing.proof is None else passing.proof.value,
-            proved_ago_s=left_s(now_s, passing.proved_s),
+            former_token=record.token,
+            proof="none" if record.proof is None else record.proof.value,
+            proved_ago_s=left_s(now_s, record.proved_s),
             bound_of=bound_of,
             bound_epoch=bound_epoch,
-            own_left_s=left_s(passing.own_until_s, now_s),
-            predecessor_left_s=left_s(passing.predecessor_until_s, now_s),
+            own_left_s=left_s(record.own_until_s, now_s),
+            predecessor_left_s=left_s(record.predecessor_until_s, now_s),
             unanswered=grants,
             unanswered_releases=releases,
             oldest_unanswered_s=oldest_s,
         )
 
     def _bound_of(self, proof: TransferProof | None) -> tuple[str | None, int | None]:
-        """Return whose bound a proof is, and the epoch of that leader where it is known."""
+        """Return which leader's bound a proof is, and the epoch of that leader, if known."""
         if proof is TransferProof.OWN_BOUND:
             return "this_leader", self._leadership.row.epoch
         if proof is TransferProof.PREDECESSOR_BOUND:
@@ -159,7 +159,7 @@
         return self._owned.first, self._owned.last
 
     def log(self, message_type: str, **fields: object) -> None:
-        """Write a line on the range, with the proof of this process's leadership."""
+        """Write a log line on the range, with the proof of this process's leadership."""
         log_message(
             message_type=message_type,
             service=self._service,
--- a/indigoworks/ownership/range_move.py
+++ b/indigoworks/ownership/range_move.py
@@ -1,4 +1,4 @@
-"""A decision on who owns which keys."""
+"""A move of keys from one server to another."""
 
 from dataclasses import dataclass
 
@@ -16,6 +16,6 @@
     reason: str
 
     def takes_from(self, owned: OwnedRange) -> bool:
-        """Tell whether any key of a range goes from its owner."""
+        """Return whether the move takes any key of a range from its owner."""
         is_inside = self.first <= owned.last and owned.first <= self.last
         return is_inside and self.from_server == owned.server_id
--- a/indigoworks/ownership/range_splitter.py
+++ b/indigoworks/ownership/range_splitter.py
@@ -1,22 +1,22 @@
-"""Parts of ranges by the load that they carry."""
+"""Splits ranges into parts by their load."""
 
 from indigoworks.ownership.load_window import LoadWindow
 from indigoworks.ownership.owned_range import OwnedRange
 
 MAX_EXCESS_RATIO = 1.2
-"""A part may carry so many times what is wanted."""
+"""A part may carry this many times the wanted load."""
 
 
 class RangeSplitter:
-    """Cuts ranges by the requests of a window; nothing here decides what moves."""
+    """Splits ranges by the sampled requests in a window."""
 
     def __init__(self, window: LoadWindow) -> None:
         self._window = window
 
     def part_for_load(self, owned: OwnedRange, wanted_hits: float) -> tuple[int, int] | None:
-        """Return a part of a range that carries at most about `wanted_hits`; None: there is none.
+        """Return a part of a range with at most about `wanted_hits` requests; None: there is none.
 
-        Of its two ends the one that carries more, and among equals the narrower one.
+        It is the end of the range with more requests, or the narrower end if both have as many.
         """
         hits = self._window.hits_between(owned.first, owned.last)
         total = sum(weight for _, weight in hits)
@@ -24,21 +24,21 @@
             return None
         if total <= wanted_hits * MAX_EXCESS_RATIO:
             return owned.first, owned.last
-        left = self._cut(hits, wanted_hits)
-        right = self._cut(hits[::-1], wanted_hits)
-        pieces: list[tuple[int, int]] = []
+        left = self._split_key(hits, wanted_hits)
+        right = self._split_key(hits[::-1], wanted_hits)
+        ends: list[tuple[int, int]] = []
         if left is not None and left < owned.last:
-            pieces.append((owned.first, left))
+            ends.append((owned.first, left))
         if right is not None and right > owned.first:
-            pieces.append((right, owned.last))
+            ends.append((right, owned.last))
         return max(
-            pieces,
+            ends,
             key=lambda each: (self._window.count_between(*each), each[0] - each[1]),
             default=None,
         )
 
-    def _cut(self, hits: list[tuple[int, float]], wanted_hits: float) -> int | None:
-        """Return the key up to which `hits` carry at most about what is wanted; None: none do."""
+    def _split_key(self, hits: list[tuple[int, float]], wanted_hits: float) -> int | None:
+        """Return the last key up to which `hits` sum to at most about `wanted_hits`, if any."""
         total = 0.0
         cut: int | None = None
         index = 0
@@ -53,19 +53,19 @@
         return cut
 
     def equal_parts(self, owned: OwnedRange, count: int) -> list[tuple[int, int]]:
-        """Cut a range into parts of equal load, or of equal width where nothing was sampled."""
+        """Split a range into parts of equal load, or equal width if there are too few samples."""
         count = min(count, owned.width)
         hits = self._window.hits_between(owned.first, owned.last)
         if len(hits) < 2 * count:
-            cuts = [owned.first + owned.width * index // count for index in range(1, count)]
+            split_keys = [owned.first + owned.width * index // count for index in range(1, count)]
         else:
-            cuts = sorted({hits[len(hits) * index // count][0] for index in range(1, count)})
-        firsts = [owned.first, *(cut for cut in cuts if cut > owned.first)]
+            split_keys = sorted({hits[len(hits) * index // count][0] for index in range(1, count)})
+        firsts = [owned.first, *(cut for cut in split_keys if cut > owned.first)]
         lasts = [*(first - 1 for first in firsts[1:]), owned.last]
         return list(zip(firsts, lasts, strict=True))
 
     def hottest_key(self, owned: OwnedRange) -> tuple[int, float]:
-        """Return the busiest key of a range and its requests in the window."""
+        """Return the key of a range with the most requests in the window, and their number."""
         of_key: dict[int, float] = {}
         for key, weight in self._window.hits_between(owned.first, owned.last):
             of_key[key] = of_key.get(key, 0.0) + weight
--- a/indigoworks/ownership/resting_owners.py
+++ b/indigoworks/ownership/resting_owners.py
@@ -1,4 +1,7 @@
-"""Owners that asked for rest, and which of them are to lose their keys for it."""
+"""Owners that rest, and which of them lose their keys for it.
+
+A server rests while it has asked gateways to send it no requests for some seconds.
+"""
 
 from collections.abc import Sequence
 
@@ -11,17 +14,16 @@
 from indigoworks.servers.server_source import ServerSource
 
 MIN_REST_TO_MOVE_S = 1.0
-"""Keys of a server that wants a shorter rest stay with it: a move takes about half a second, in
-which nobody serves them either, and moves others with them. An estimate."""
+"""Keys of a server that asks for a shorter rest stay with it: a move takes about half a second, in
+which nobody serves them either, and moves other keys with them."""
 
 
 class RestingOwners:
-    """Goes by what servers told the gateways; a single gateway's word counts where there is no
-    other.
+    """Selects resting owners by what servers told several gateways, or one if there is no other.
 
-    A rest refuses the callers of a server's keys until it is over, and may be asked for again and
-    again; other servers of the service can serve them half a second later. Where these have no room
-    the keys stay: else one server that is overloaded would hand its load to the next, and so on.
+    Callers of a resting server's keys are refused until its rest ends, and it may ask for more
+    rests; other servers of the service can serve the keys half a second later. If these have no
+    room, the keys stay: otherwise an overloaded server would overload the next one, and so on.
     """
 
     def __init__(self, servers: ServerSource, peers: PeerView) -> None:
@@ -29,18 +31,18 @@
         self._peers = peers
 
     def is_resting(self, server_id: str) -> bool:
-        """Tell whether a server is to get no further keys."""
+        """Return whether a server rests, so that it gets no further keys."""
         return self._left_s(server_id) > 0
 
-    def to_relieve(
-        self, table: OwnershipTable, window: LoadWindow, stayers: Sequence[ServerCapacity]
+    def owners_to_relieve(
+        self, table: OwnershipTable, window: LoadWindow, targets: Sequence[ServerCapacity]
     ) -> list[str]:
-        """Return the owners whose keys are to move to `stayers`, none of which rests."""
-        if not stayers or not self._servers.has_resting():
+        """Return the resting owners whose keys are to move to `targets`, none of which rests."""
+        if not targets or not self._servers.has_resting():
             return []
         owners = {each.server_id for each in table.ranges}
         resting = [each for each in sorted(owners) if self._left_s(each) >= MIN_REST_TO_MOVE_S]
-        if not resting or not self._has_room(table, window, resting, stayers):
+        if not resting or not self._has_room(table, window, resting, targets):
             return []
         return resting
 
@@ -56,14 +58,14 @@
         table: OwnershipTable,
         window: LoadWindow,
         resting: Sequence[str],
-        stayers: Sequence[ServerCapacity],
+        targets: Sequence[ServerCapacity],
     ) -> bool:
-        """Tell whether `stayers` stay below HIGH_UTILISATION in the mean with all these keys."""
-        hits = sum(requests_by_server(table, window, stayers).values())
+        """Return whether `targets` stay below HIGH_UTILISATION on average with these keys."""
+        hits = sum(requests_by_server(table, window, targets).values())
         hits += sum(
             window.count_between(each.first, each.last)
             for server_id in resting
             for each in table.ranges_of(server_id)
         )
-        capacity_per_s = sum(each.usable_per_s for each in stayers)
+        capacity_per_s = sum(each.usable_per_s for each in targets)
         return hits / window.covered_s <= HIGH_UTILISATION * capacity_per_s
--- a/indigoworks/ownership/sent_order.py
+++ b/indigoworks/ownership/sent_order.py
@@ -1,4 +1,4 @@
-"""An order on its way to a server."""
+"""An order that was sent to a server."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(slots=True)
 class SentOrder:
-    """An order as it was sent, and what became of it.
+    """An order as it was sent, and its result.
 
-    :ivar sent_s: clock reading at which it was handed on for sending.
+    :ivar sent_s: clock reading when it was passed on for sending.
     :ivar hold_s: hold of a grant, in seconds; None: a release.
-    :ivar result: None while it is under way, and for good where the wait was cancelled.
+    :ivar result: None while it is in flight, or if the wait for the answer was cancelled.
     """
 
     kind: str
--- a/indigoworks/ownership/server_capacity.py
+++ b/indigoworks/ownership/server_capacity.py
@@ -1,13 +1,13 @@
-"""What a server can do."""
+"""Capacity of a server."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCapacity:
-    """Slots of a server, and its requests a second while all of them are busy.
+    """Slots of a server, and its requests per second while all slots are busy.
 
-    :ivar limit_per_s: requests a second that are passed on to it; infinity: it names no limit.
+    :ivar limit_per_s: requests per second that gateways send it at most; infinity: no limit.
     """
 
     server_id: str
@@ -17,10 +17,10 @@
 
     @property
     def is_limited(self) -> bool:
-        """Tell whether the server can do more than it takes."""
+        """Return whether the limit is below what the slots allow."""
         return self.limit_per_s < self.requests_per_s
 
     @property
     def usable_per_s(self) -> float:
-        """Return the requests a second that it takes."""
+        """Return the requests per second that the slots and the limit allow."""
         return min(self.requests_per_s, self.limit_per_s)
--- a/indigoworks/ownership/server_load_share.py
+++ b/indigoworks/ownership/server_load_share.py
@@ -1,4 +1,4 @@
-"""Load of servers by the requests of a window."""
+"""Load of servers, computed from the requests in a window."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 def requests_by_server(
     table: OwnershipTable, window: LoadWindow, servers: Sequence[ServerCapacity]
 ) -> dict[str, float]:
-    """Return by server the requests of a window for the keys that it owns."""
+    """Return for each server the requests in a window for the keys that it owns."""
     return {
         server.server_id: sum(
             window.count_between(each.first, each.last)
@@ -21,5 +21,5 @@
 
 
 def utilisation(requests: float, server: ServerCapacity, window: LoadWindow) -> float:
-    """Return the share of its slots, or of its limit, that so many requests in the window use."""
+    """Return the share of a server's slots, or of its limit, that `requests` in the window use."""
     return requests / window.covered_s / server.usable_per_s
--- a/indigoworks/ownership/server_orders.py
+++ b/indigoworks/ownership/server_orders.py
@@ -1,4 +1,7 @@
-"""The port through which grants and releases reach servers."""
+"""The port through which grants and releases are sent to servers.
+
+An order is a grant (hold these keys for some seconds) or a release (give these keys up).
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,21 +13,21 @@
 from indigoworks.servers.server_record import ServerRecord
 
 MaySend = Callable[[], bool]
-"""Tells whether an order may still go out; its bytes follow without any wait in between."""
+"""Returns whether an order may still be sent; its bytes are written without awaiting in between."""
 
 NoticeListener = Callable[[str, ServerNotice], None]
-"""Takes the id of a server and what it asked for in an answer."""
+"""Called with the id of a server and what it asked for in an answer."""
 
 
 class ServerOrders(Protocol):
-    """Sends orders, each over a connection of its own, each at most once.
+    """Sends orders, each on its own connection and at most once.
 
-    Whoever sends waits for its turn and for a connection, and a process may stand still meanwhile:
-    `may_send` is asked after all that. Where it says no the outcome is WITHHELD.
+    A sender waits for its turn and for a connection, and its process may be paused meanwhile:
+    `may_send` is called after all that. If it returns False, the outcome is WITHHELD.
     """
 
     def add_notice_listener(self, listener: NoticeListener) -> None:
-        """Tell `listener` what servers ask for in their answers to orders."""
+        """Call `listener` with what servers ask for in their answers to orders."""
         ...
 
     async def grant(
@@ -36,5 +39,5 @@
     async def release(
         self, server: ServerRecord, release: KeyRelease, timeout_s: float, may_send: MaySend
     ) -> OrderOutcome:
-        """Release keys; the answer comes when the work on them has ended."""
+        """Release keys; the server answers when it has finished its work on them."""
         ...
--- a/indigoworks/ownership/server_silence.py
+++ b/indigoworks/ownership/server_silence.py
@@ -1,4 +1,4 @@
-"""A time in which a server answers no orders."""
+"""A period in which a server answers no orders."""
 
 from dataclasses import dataclass, field
 
@@ -18,6 +18,6 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, kind: str) -> int | None:
-        """Count an order; returns how many a line stands for, or None: none is due."""
+        """Count an order; returns the count for a log line that is due, or None: none is due."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
         return self.throttle.count_event()
--- a/indigoworks/ownership/table_editor.py
+++ b/indigoworks/ownership/table_editor.py
@@ -1,4 +1,4 @@
-"""Changes of a table of owners; nothing here sends or waits."""
+"""Pure functions that return changed ownership tables."""
 
 from collections.abc import Sequence
 
@@ -8,15 +8,15 @@
 from indigoworks.rowstore.store_version import NO_VERSION
 
 TOKEN_STEP = 2
-"""A new token is so much above the highest: the one between closes the old owner's grants."""
+"""New tokens grow by this much; releases of the old owner's grants use the token in between."""
 
 
 def first_table(
     service: str, server_ids: Sequence[str], weights: Sequence[int], above: int = 0
 ) -> OwnershipTable:
-    """Return equal contiguous shares by weight for servers that hold nothing yet.
+    """Return the first table: each server gets one contiguous range in proportion to its weight.
 
-    :param above: the first token is above this number.
+    :param above: the token is higher than this number.
     """
     token = above + TOKEN_STEP
     total = sum(weights)
@@ -31,16 +31,16 @@
 
 
 def with_moves(table: OwnershipTable, moves: Sequence[RangeMove]) -> OwnershipTable:
-    """Return the table after `moves`, whose keys get a token above all that were used."""
+    """Return the table after `moves`; moved keys get a new token."""
     token = table.highest_token + TOKEN_STEP
     ranges = list(table.ranges)
     for move in moves:
-        ranges = [part for owned in ranges for part in _apply(owned, move, token)]
+        ranges = [part for owned in ranges for part in _apply_move(owned, move, token)]
     return OwnershipTable(table.service, _merged(ranges), token, table.version)
 
 
 def with_new_tokens(table: OwnershipTable) -> OwnershipTable:
-    """Return the table with one new token on all ranges: what a new leader grants under."""
+    """Return the table with one new token on all ranges, as a new leader needs it."""
     token = table.highest_token + TOKEN_STEP
     ranges = [
         OwnedRange(each.first, each.last, each.server_id, token, each.former)
@@ -50,7 +50,7 @@
 
 
 def with_new_token_of(table: OwnershipTable, wanted: Sequence[OwnedRange]) -> OwnershipTable:
-    """Return the table with a new token on some ranges, whose owners stay."""
+    """Return the table with a new token on the ranges in `wanted`, whose owners stay."""
     token = table.highest_token + TOKEN_STEP
     ranges = tuple(
         OwnedRange(each.first, each.last, each.server_id, token, each.former)
@@ -64,8 +64,8 @@
 def in_new_era(table: OwnershipTable, carried: Sequence[OwnedRange], above: int) -> OwnershipTable:
     """Return a table of an earlier era as the first one of a new era.
 
-    :param carried: its ranges, each with the former owners that are to be ruled out in the new era.
-    :param above: the token of all ranges is above this number.
+    :param carried: its ranges, each with the former owners to be ruled out in the new era.
+    :param above: the token of all ranges is higher than this number.
     """
     token = token_in_era(table, above)
     ranges = [
@@ -75,14 +75,14 @@
 
 
 def token_in_era(table: OwnershipTable, above: int) -> int:
-    """Return the token under which a table of an earlier era begins in a new one."""
+    """Return the first token of a table of an earlier era in a new era."""
     return max(table.highest_token, above) + TOKEN_STEP
 
 
 def spans_of_others(
     ranges: Sequence[OwnedRange], server_id: str, token: int
 ) -> tuple[OwnedRange, ...]:
-    """Return the keys of `ranges` that other servers own, neighbours as one, under `token`."""
+    """Return the keys that other servers own, under `token`, with adjacent ranges merged."""
     others = [
         OwnedRange(each.first, each.last, "", token)
         for each in ranges
@@ -92,7 +92,7 @@
 
 
 def without_former(table: OwnershipTable, granted: Sequence[OwnedRange]) -> OwnershipTable:
-    """Return the table in which ranges that were granted name no former owners."""
+    """Return the table without the former owners of ranges in `granted`."""
     done = set(granted)
     ranges = [
         OwnedRange(each.first, each.last, each.server_id, each.token) if each in done else each
@@ -101,8 +101,8 @@
     return OwnershipTable(table.service, _merged(ranges), table.highest_token, table.version)
 
 
-def _apply(owned: OwnedRange, move: RangeMove, token: int) -> list[OwnedRange]:
-    """Cut `owned` where `move` takes keys out of it."""
+def _apply_move(owned: OwnedRange, move: RangeMove, token: int) -> list[OwnedRange]:
+    """Return the parts of `owned` after `move`; `[owned]` if the move does not affect it."""
     first, last = max(owned.first, move.first), min(owned.last, move.last)
     if first > last or owned.server_id != move.from_server:
         return [owned]
@@ -124,7 +124,7 @@
 
 
 def _merged(ranges: Sequence[OwnedRange]) -> tuple[OwnedRange, ...]:
-    """Join neighbours that differ in nothing but their keys."""
+    """Merge adjacent ranges that differ only in their keys."""
     merged: list[OwnedRange] = []
     for each in ranges:
         before = merged[-1] if merged else None
--- a/indigoworks/ownership/table_recovery.py
+++ b/indigoworks/ownership/table_recovery.py
@@ -1,4 +1,4 @@
-"""Brings a table of owners into a new era of the store."""
+"""Carries an ownership table over into a new era of the store."""
 
 import asyncio
 from collections.abc import Sequence
@@ -26,26 +26,26 @@
 from indigoworks.ownership.table_writer import TableWriter
 from indigoworks.servers.server_source import ServerSource
 
-UNKNOWN_TRIES = 3
-"""So often an owner is asked to renew that does not answer, where keys would else wait for the
-longest hold that anybody may have granted."""
+UNKNOWN_ERA_TRIES = 3
+"""Number of renewals sent to an owner that does not answer, when its keys would otherwise wait for
+the longest hold that anybody may have granted."""
 
-RELEASES_S = 0.8
-"""Longest wait for the answers to all releases, which have work to wait for; servers that need
-longer are asked again range by range."""
+RELEASE_ALL_TIMEOUT_S = 0.8
+"""Longest wait for the answers to all releases, which servers answer when their work ends. Servers
+that need longer are sent releases again range by range."""
 
-LIST_SETTLES_S = 2.2
-"""Every living server is back in the list so long after the store has come back."""
+SERVER_LIST_SETTLE_S = 2.2
+"""Every live server is back in the list this long after the store has returned."""
 
 
 class TableRecovery:
-    """Carries tables over, and finds out which ranges are certainly with the owner known here.
+    """Carries tables over, and finds out which ranges are certainly with their known owner.
 
-    The store has lost the newest tables, and servers hold keys by them. Tokens of the new era are
-    above all earlier ones, so that no late order of before can take effect. What is left is a
-    server that holds keys of which neither the copy nor this process knows. An owner that renews a
-    grant under its old token was never released from it. Of the other ranges every server that is
-    known is a former owner: it answers a release, or its longest possible hold passes.
+    A store restored from a copy may have lost the newest tables, by which servers hold keys. Tokens
+    of the new era are above all earlier ones, so that no late order of an earlier era has effect.
+    But a server may hold keys without the copy or this process knowing it. An owner that renews a
+    grant under its old token was never released from it. For any other range every known server is
+    treated as a former owner: it answers a release, or its longest possible hold ends.
     """
 
     def __init__(
@@ -70,10 +70,10 @@
         self._clock = clock
 
     async def carry_over(self, service: str) -> bool:
-        """Write the table of a former era, if there is one, as the first of this one.
+        """Write the table of a former era, if there is one, as the first table of this era.
 
-        False where that did not come about, such as by a write whose answer was lost: it is then to
-        be done again from the rows as they are.
+        Returns False if that failed, such as by a write whose answer was lost; the caller then
+        retries from the rows as they are.
         """
         if not self._has_read_former:
             self._has_read_former = await self._writer.read_former_eras()
@@ -83,12 +83,12 @@
         return await self._writer.write(await self._recovered(table), "new_era")
 
     async def _recovered(self, table: OwnershipTable) -> OwnershipTable:
-        """Return the first table of the new era; it is yet to be written."""
+        """Return the first table of the new era, which is not written yet."""
         is_known = self._leadership.knows_former_era(table.version.era)
         if not is_known:
-            # Servers that came in the span that is lost are missing from the copy.
+            # Servers that registered after the copy was made are missing from it.
             since_s = self._clock.now() - self._leadership.era_seen_s
-            await self._clock.sleep(max(0.0, LIST_SETTLES_S - since_s))
+            await self._clock.sleep(max(0.0, SERVER_LIST_SETTLE_S - since_s))
         confirmed = await asyncio.gather(
             *(self._is_confirmed(table, each) for each in table.ranges)
         )
@@ -97,7 +97,9 @@
         for owned, is_confirmed in zip(table.ranges, confirmed, strict=True):
             if not (is_confirmed and is_known):
                 unsure.append(owned)
-                self._note_holders(owned, holders, self._until_s(is_confirmed, is_known), is_known)
+                self._record_holders(
+                    owned, holders, self._until_s(is_confirmed, is_known), is_known
+                )
         above = first_number(self._leadership.era)
         await self._release_elsewhere(table.service, unsure, holders, token_in_era(table, above))
         log_message(
@@ -118,24 +120,24 @@
         ]
         return in_new_era(table, carried, above)
 
-    # ---- which ranges are with their owners ----
+    # ---- confirmation by owners ----
 
     def _led(self, table: OwnershipTable) -> bool:
         return self._leadership.led_former_era(table.version.era)
 
     async def _is_confirmed(self, table: OwnershipTable, owned: OwnedRange) -> bool:
-        """Tell whether the owner renews its grant, or this process granted the range itself."""
+        """Return whether the owner renews its grant, or this process granted the range itself."""
         is_own = self._led(table)
         granted = self._keepers.granted_at_stop(table.service)
         if owned not in granted if is_own else owned.former:
-            # Its own grants are known to a leader; of another's this one may not have been sent.
+            # A leader knows its own grants; another leader may not have granted this range yet.
             return is_own
-        tries = 1 if self._leadership.knows_former_era(table.version.era) else UNKNOWN_TRIES
+        tries = 1 if self._leadership.knows_former_era(table.version.era) else UNKNOWN_ERA_TRIES
         result = await self._confirm(table.service, owned, tries)
         return result is OrderResult.DONE or (is_own and result is not OrderResult.FENCED)
 
     async def _confirm(self, service: str, owned: OwnedRange, tries: int) -> OrderResult | None:
-        """Let the owner renew its grant; one that may only have missed the order is asked again."""
+        """Have the owner renew its grant, with retries if it does not answer."""
         result = await self._keepers.confirm(service, owned)
         for _ in range(tries - 1):
             if result is not OrderResult.UNANSWERED:
@@ -149,13 +151,13 @@
         former = {before.server_id for each in table.ranges for before in each.former}
         return frozenset(listed | owners | former)
 
-    # ---- who else may hold them ----
+    # ---- other possible holders ----
 
-    def _note_holders(
+    def _record_holders(
         self, owned: OwnedRange, holders: frozenset[str], until_s: float, is_known: bool
     ) -> None:
         for server_id in holders:
-            # What a known leader granted to the owner has its bound.
+            # The hold of an owner in a known era already has a bound.
             if not is_known or server_id != owned.server_id:
                 self._bounds.add_possible_hold(server_id, owned, until_s)
                 self._bounds.mark_inherited(server_id, owned.first, owned.last)
@@ -163,9 +165,9 @@
     async def _release_elsewhere(
         self, service: str, unsure: Sequence[OwnedRange], holders: frozenset[str], token: int
     ) -> None:
-        """Have every server release the ranges that others own, in as few orders as there can be.
+        """Have every server release the ranges that others own, in as few orders as possible.
 
-        Who answers holds none of them; who does not stays a former owner.
+        A server that answers holds none of them; one that does not remains a former owner.
         """
         releases = [
             asyncio.ensure_future(self._keepers.release(service, span, server_id))
@@ -174,21 +176,21 @@
         ]
         if not releases:
             return
-        _, pending = await asyncio.wait(releases, timeout=RELEASES_S)
+        _, pending = await asyncio.wait(releases, timeout=RELEASE_ALL_TIMEOUT_S)
         for each in pending:
             each.cancel()
 
     def _sure(self, service: str, owned: OwnedRange) -> OwnedRange:
-        """Return a range with the former owners that are to be ruled out in the new era.
+        """Return a confirmed range with the former owners to be ruled out in the new era.
 
-        A range that its owner held when this process led last has none.
+        A range that its owner held when this process last led has none.
         """
         is_granted = owned in self._keepers.granted_at_stop(service)
-        left = () if is_granted else owned.former
-        return replace(owned, former=tuple(FormerOwner(each.server_id) for each in left))
+        former = () if is_granted else owned.former
+        return replace(owned, former=tuple(FormerOwner(each.server_id) for each in former))
 
     def _unsure(self, owned: OwnedRange, holders: frozenset[str]) -> OwnedRange:
-        """Return a range whose former owners are all that may still hold it."""
+        """Return an unconfirmed range with all servers that may still hold it as former owners."""
         now_s = self._clock.now()
         former = [
             FormerOwner(each)
@@ -198,19 +200,20 @@
         return replace(owned, former=tuple(former))
 
     def _until_s(self, is_confirmed: bool, is_known: bool) -> float:
-        return self._acts_until_s() + self._longest_hold_s(is_confirmed, is_known)
+        return self._may_act_until_s() + self._longest_hold_s(is_confirmed, is_known)
 
     def _longest_hold_s(self, is_confirmed: bool, is_known: bool) -> float:
-        """Return how long a grant may hold after its sending that a leader of before has sent.
+        """Return how long after its sending a grant of an earlier leader may hold.
 
-        Keys that their owner has never given up can be with another server only by a move that
-        waited for the owner's hold to pass, which a leader makes in a sound time.
+        Another server can hold keys that their owner has never released only after a move that
+        waited for the owner's hold to end. Leaders make such moves while the store is healthy, when
+        holds are short.
         """
         hold_s = HOLD_S if is_confirmed else self._policy.longest_max_s
         if not is_confirmed and not is_known:
             hold_s = max(hold_s, MAX_ORDER_DELAY_S + HOLD_S)
         return hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
 
-    def _acts_until_s(self) -> float:
-        """Return until when a leader of a former era may act: its newest proof is older."""
+    def _may_act_until_s(self) -> float:
+        """Return until when a leader of a former era may act, by the age of its newest proof."""
         return self._leadership.others_led_until_s + LEADER_LEASE_S
--- a/indigoworks/ownership/table_writer.py
+++ b/indigoworks/ownership/table_writer.py
@@ -20,16 +20,15 @@
 
 READ_RETRY_S = 0.1
 
-FORMER_ERAS = 8
-"""So many eras are looked through for tables: the store may have come back several times before a
-leader could write any."""
+MAX_FORMER_ERAS = 8
+"""Number of former eras that are searched for tables: the store may have returned several times
+before a leader could write any."""
 
 
 class TableWriter:
-    """Writes tables of owners under the condition that this process leads.
+    """Writes ownership tables on the condition that this process leads.
 
-    Before a write takes keys from an owner, renewals of its range stop: from then on its hold only
-    runs out.
+    Renewals of a range stop before a write takes keys from its owner, so that its hold ends.
 
     :param on_pending_changed: called after each write, when new ranges are not granted yet.
     """
@@ -54,11 +53,11 @@
         self._unsettled: set[str] = set()
 
     def is_unsettled(self, service: str) -> bool:
-        """Tell whether an earlier write may still be made; the next one rules it out."""
+        """Return whether a failed write may still be applied; a later write rules that out."""
         return service in self._unsettled
 
     async def reread(self) -> bool:
-        """Read the group's rows whole; False where this process leads no longer."""
+        """Read all rows of the group; returns False if this process no longer leads."""
         while self._leadership.proof_age_s() < LEADER_LEASE_S:
             result = await self._store.read(CONTROL_TABLE, self._group.part)
             if isinstance(result, Err):
@@ -72,27 +71,27 @@
         return False
 
     async def read_former_eras(self) -> bool:
-        """Take the tables of the newest former era that the store has any of.
+        """Apply the tables of the newest former era of which the store has any.
 
-        False where this process leads no longer.
+        Returns False if this process no longer leads.
         """
         newest = self._leadership.era - 1
-        for era in range(newest, max(-1, newest - FORMER_ERAS), -1):
-            rows = await self._read_former(era)
+        for era in range(newest, max(-1, newest - MAX_FORMER_ERAS), -1):
+            rows = await self._read_former_era(era)
             if rows is None:
                 return False
             for row in rows:
                 if row.key == LEADER_KEY:
                     self._leadership.record_former_row(LeaderRow.decode(row.value, row.version))
-            # Whoever followed that era knows its newest table: what lies above it was made late.
+            # A process that followed that era knows its newest table; newer rows were written late.
             if not self._leadership.knows_former_era(era):
                 self._tables.apply(rows)
             if any(row.key.startswith(OWNERS_PREFIX) for row in rows):
                 break
         return self._leadership.may_act()
 
-    async def _read_former(self, era: int) -> list[Row] | None:
-        """Return the rows of a former era, as of that era; None: this process leads no longer."""
+    async def _read_former_era(self, era: int) -> list[Row] | None:
+        """Return the rows of a former era, versioned in it; None: this process no longer leads."""
         while self._leadership.may_act():
             result = await self._store.read(CONTROL_TABLE, self._group.part_in(era))
             if isinstance(result, Ok):
@@ -106,12 +105,12 @@
         return None
 
     async def write(self, table: OwnershipTable, reason: str) -> bool:
-        """Write a table under the condition that we lead and that nobody has changed it."""
+        """Write a table on the condition that this process leads and the row is unchanged."""
         if not self._leadership.may_act():
             return False
         await self._keepers.quiesce(table.service, table)
         if not self._leadership.may_act():
-            # Another leader may have been named meanwhile: the condition below would name its row.
+            # The leader row may name another by now; the condition below would then match its row.
             self._keepers.resume(table.service)
             return False
         key = OWNERS_PREFIX + table.service
@@ -134,8 +133,8 @@
                 reason=reason,
                 error=result.unwrap_err().kind,
             )
-            # The write may still be made: what it takes from owners is not renewed until another
-            # write of this row has ruled that out.
+            # The write may still be applied: ranges that it takes from owners are not renewed until
+            # another write of this row rules it out.
             self._unsettled.add(table.service)
             await self.reread()
             return False
--- a/indigoworks/ownership/transfer_proof.py
+++ b/indigoworks/ownership/transfer_proof.py
@@ -1,20 +1,20 @@
-"""What shows that a former owner holds a range no longer."""
+"""Proofs that a former owner no longer holds a range."""
 
 from enum import Enum
 
 
 class TransferProof(Enum):
-    """Proofs by which a range passes from a former owner to its owner."""
+    """Reasons for which a range may be granted although another server owned it before."""
 
     RELEASED = "released"
     """The former owner answered a release."""
     ORDER_MISDIRECTED = "order_misdirected"
-    """Another server answered a release: it has the address of the one that was meant."""
+    """Another server answered the release: it now has the former owner's address."""
     SERVER_REPLACED = "server_replaced"
-    """The former owner counted as gone before; `server:replaced` says why."""
+    """The former owner was known to have ended; the log line `server:replaced` has the reason."""
     OWN_BOUND = "own_bound"
-    """The last bound to end was that of this process's own grants."""
+    """All holds have ended, last one granted by this process."""
     PREDECESSOR_BOUND = "predecessor_bound"
-    """The last bound to end was that of earlier leaders' grants."""
+    """All holds have ended, last one granted by an earlier leader."""
     NO_BOUND = "no_bound"
     """No leader is known to have granted anything to the former owner."""
--- a/indigoworks/ownership/unanswered_orders.py
+++ b/indigoworks/ownership/unanswered_orders.py
@@ -1,11 +1,11 @@
-"""Orders that servers left unanswered, as counts."""
+"""Counts of orders that servers left unanswered."""
 
 from dataclasses import dataclass
 
 from indigoworks.ownership.sent_order import SentOrder
 
 REMEMBERED_S = 60.0
-"""Orders count for so long after the newest of their kind and keys."""
+"""Counts are kept for this long after the newest order with the same kind, keys and token."""
 
 
 @dataclass(slots=True)
@@ -16,10 +16,10 @@
 
 
 class UnansweredOrders:
-    """Counts orders by kind, server, keys and token.
+    """Counts unanswered orders by kind, server, keys and token.
 
-    A later answer takes none of them away: what a server does with an order that it took late is
-    just what a reader of the log wants to find out.
+    A later answer removes none of them: the log is meant to show what a server did with an order
+    that it applied late.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         known.last_sent_s = order.sent_s
 
     def drop_old(self, now_s: float) -> None:
-        """Forget orders that were sent long ago."""
+        """Remove counts of orders that were sent long ago."""
         self._counts = {
             key: each
             for key, each in self._counts.items()
@@ -41,11 +41,11 @@
         }
 
     def count(self) -> int:
-        """Return how many are known, of all servers."""
+        """Return the number of orders, over all servers."""
         return sum(each.count for each in self._counts.values())
 
     def on_keys(self, kind: str, server_id: str, first: int, last: int) -> tuple[int, float | None]:
-        """Return how many orders of a kind touch keys, and when the oldest was sent."""
+        """Return the number of orders of a kind on any of the keys, and the oldest sending time."""
         found = [
             each
             for (known_kind, server, order_first, order_last, _), each in self._counts.items()
--- a/indigoworks_lab/control_simulation/broken_row_rules.py
+++ b/indigoworks_lab/control_simulation/broken_row_rules.py
@@ -63,7 +63,7 @@
         "challenge-blindly",
         "A challenger writes the leader's row whatever it holds.",
         row_checker.CHECKER,
-        lambda: [Replacement(Leadership, "_write_of", _challenge_blindly)],
+        lambda: [Replacement(Leadership, "_row_write", _challenge_blindly)],
         (FaultKind.LEADER_KILLED, 1.0, 6.0),
     ),
     broken_control_rule(
