--- a/indigoworks/ownership/__init__.py
+++ b/indigoworks/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which server owns which keys: rows of the store, leadership, grants, placement."""
+"""Decides which server owns which keys: leadership, ownership rows, grants, placement."""
--- a/indigoworks/ownership/former_owners.py
+++ b/indigoworks/ownership/former_owners.py
@@ -94,7 +94,7 @@
             await self._clock.sleep(CHECK_PERIOD_S)
 
     def _proof(self, server_id: str, is_asked: bool) -> TransferProof | None:
-        """Return a proof, without sending an order, that a server holds none of the keys.
+        """Return a proof that a server holds none of the keys, as far as no order is needed for it.
 
         :param is_asked: an order has shown whether the server answers.
         """
--- a/indigoworks/ownership/leader_proof.py
+++ b/indigoworks/ownership/leader_proof.py
@@ -6,7 +6,7 @@
 
 
 class LeaderProof(Protocol):
-    """What is logged about a process's leadership."""
+    """The leadership of a process, as far as it is logged."""
 
     def proof_age_s(self) -> float:
         """Return the age of the newest proof; infinity: there is none."""
--- a/indigoworks/ownership/leader_row.py
+++ b/indigoworks/ownership/leader_row.py
@@ -35,4 +35,4 @@
 
 
 NO_LEADER = LeaderRow(0, "", "", NO_VERSION)
-"""Stands for the row before any leader has written it."""
+"""The leader row before any leader has written it."""
--- a/indigoworks/ownership/load_balancer.py
+++ b/indigoworks/ownership/load_balancer.py
@@ -21,8 +21,8 @@
 """The same for a very short window, whose small samples vary more by chance."""
 
 LIMITED_SIGNIFICANCE = 1.0
-"""The same for a server that names a limit: what it takes is known, and a server that gets three
-requests a second where it takes one has only four more in a sample of a second and a half."""
+"""The same for a server that names a limit. Its capacity is known, and a server that gets three
+requests a second with a limit of one has only four more in a sample of a second and a half."""
 
 KEPT_UTILISATION = 0.3
 """A server that names a limit keeps keys for this share of it: its answers show when it ends."""
--- a/indigoworks/ownership/range_log.py
+++ b/indigoworks/ownership/range_log.py
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class _FormerOwnerRecord:
-    """What was known of a former owner when it was ruled out.
+    """Bounds and proof of a former owner when it was ruled out.
 
-    :ivar own_until_s: latest end of what this process granted to it.
+    :ivar own_until_s: latest end of the grants of this process to it.
     """
 
     began_s: float
--- a/indigoworks/ownership/range_splitter.py
+++ b/indigoworks/ownership/range_splitter.py
@@ -40,7 +40,7 @@
     def _split_key(self, hits: list[tuple[int, float]], wanted_hits: float) -> int | None:
         """Return the last key up to which `hits` sum to at most about `wanted_hits`, if any."""
         total = 0.0
-        cut: int | None = None
+        split_key: int | None = None
         index = 0
         while index < len(hits):
             key = hits[index][0]
@@ -48,9 +48,9 @@
                 total += hits[index][1]
                 index += 1
             if total > wanted_hits * MAX_EXCESS_RATIO:
-                return cut
-            cut = key
-        return cut
+                return split_key
+            split_key = key
+        return split_key
 
     def equal_parts(self, owned: OwnedRange, count: int) -> list[tuple[int, int]]:
         """Split a range into parts of equal load, or equal width if there are too few samples."""
@@ -60,7 +60,7 @@
             split_keys = [owned.first + owned.width * index // count for index in range(1, count)]
         else:
             split_keys = sorted({hits[len(hits) * index // count][0] for index in range(1, count)})
-        firsts = [owned.first, *(cut for cut in split_keys if cut > owned.first)]
+        firsts = [owned.first, *(split_key for split_key in split_keys if split_key > owned.first)]
         lasts = [*(first - 1 for first in firsts[1:]), owned.last]
         return list(zip(firsts, lasts, strict=True))
 
--- a/indigoworks/ownership/resting_owners.py
+++ b/indigoworks/ownership/resting_owners.py
@@ -1,7 +1,4 @@
-"""Owners that rest, and which of them lose their keys for it.
-
-A server rests while it has asked gateways to send it no requests for some seconds.
-"""
+"""Owners that rest (see servers/resting_servers.py), and which of them lose their keys for it."""
 
 from collections.abc import Sequence
 
@@ -19,7 +16,7 @@
 
 
 class RestingOwners:
-    """Selects resting owners by what servers told several gateways, or one if there is no other.
+    """Selects owners that asked several gateways for rest, or one if there is no other.
 
     Callers of a resting server's keys are refused until its rest ends, and it may ask for more
     rests; other servers of the service can serve the keys half a second later. If these have no
