--- a/indigoworks/controller/control_state.py
+++ b/indigoworks/controller/control_state.py
@@ -25,7 +25,8 @@
 class ReplicatedControlState:
     """State machine of the control log; the same on every controller of a group.
 
-    :ivar version: log index of the newest command that changed the content of views.
+    :ivar version: log index of the newest command that changed the content of views, or that of the
+        restored snapshot.
     """
 
     def __init__(self, clock: Clock) -> None:
--- a/indigoworks/controller/lease_manager.py
+++ b/indigoworks/controller/lease_manager.py
@@ -24,7 +24,7 @@
 
 
 class LeaseManager:
-    """Runs one lease task for each registered server, while this controller leads."""
+    """Runs one lease task for each server in LEASED_STATES, while this controller leads."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
             self._stop_task(name)
 
     def lost_servers(self) -> Sequence[Server]:
-        """Return the servers that do not respond and whose leases have certainly lapsed.
+        """Mark as lost and return the servers that do not respond and whose leases have lapsed.
 
         Their leases are not renewed again until they register again.
         """
--- a/indigoworks/controller/ownership_context.py
+++ b/indigoworks/controller/ownership_context.py
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True)
 class OwnershipContext:
-    """The leader's state at one moment, and helpers shared by the rules.
+    """The leader's state, and helpers shared by the rules.
+
+    The state and the leases are live: commands of one rule are applied before the next one runs.
+    The tree and the loads were read at the start of the evaluation.
 
     :ivar tree: the settings tree in force.
     :ivar loads: busy slots measured by routers, by service and start of the range.
--- a/indigoworks/controller/placement/rebalance.py
+++ b/indigoworks/controller/placement/rebalance.py
@@ -16,8 +16,8 @@
     """Return the move with the largest gain, as the range and the name of its new owner.
 
     :param records: ranges of the service; ranges already moving are skipped.
-    :param threshold: ratio of the heaviest server to the mean density above which ranges move
-        (hysteresis).
+    :param threshold: ranges move only if the heaviest server has more than this many times the mean
+        density, or the lightest less than the mean divided by it (hysteresis).
     :returns: None when the balance is good enough or no move would improve it.
     """
     heaviest = weights.heaviest()
--- a/indigoworks/controller/rebalancer.py
+++ b/indigoworks/controller/rebalancer.py
@@ -111,7 +111,7 @@
 def threshold_of(
     placement: PlacementSettings, weights: RangeWeights, candidates: Sequence[Server]
 ) -> float:
-    """Return the ratio of the heaviest server to the mean density above which ranges move."""
+    """Return the imbalance above which ranges move; see `next_move`."""
     threshold = placement.imbalance_threshold
     if weights.is_by_load and weights.busy_ratio(candidates) < LOW_BUSY_RATIO:
         return max(threshold, LOW_LOAD_THRESHOLD)
--- a/indigoworks/controller/router_registry.py
+++ b/indigoworks/controller/router_registry.py
@@ -13,13 +13,15 @@
 from indigoworks.wire.control_pb2 import Member, RangeLoad, RouterReport, ViewRequest
 
 LIVE_ROUTER_S = 1.0
-"""A router that polled within this time is live and may be chosen as a dispatcher."""
+"""A router that polled within this time is live and may be chosen as a server's dispatcher: the
+router that sends the requests to that server."""
 
 LIST_VALID_S = 0.1
 """Time for which the list of live routers is cached: every poll needs it, many times a second."""
 
 LOAD_VALID_S = 3.0
-"""Time for which the loads reported with a router's last poll are used."""
+"""Time since a router's last poll for which the loads that it last reported are used, whichever
+poll reported them."""
 
 ROUTER_RETENTION_S = 10.0
 """A router that has not polled for this time is removed; its view lease lapsed long before."""
--- a/indigoworks/controller/server_lease_task.py
+++ b/indigoworks/controller/server_lease_task.py
@@ -94,7 +94,7 @@
         return self._lease.has_reading and self._failures == 0 and not self._is_lost
 
     async def _wait_for_interval_or_wake(self) -> None:
-        # asyncio.timeout costs a tenth of a renewal less than racing two tasks.
+        # Racing two tasks instead of asyncio.timeout would make each renewal cost a tenth more.
         try:
             async with asyncio.timeout(RENEWAL_INTERVAL_S):
                 await self._wake.wait()
--- a/indigoworks/controller/settings_service.py
+++ b/indigoworks/controller/settings_service.py
@@ -150,7 +150,10 @@
             return await self._adopt()
 
     async def _adopt(self) -> bool:
-        """Put the table's version in force if it is newer; the caller must hold the lock."""
+        """Put the table's version in force if it is newer, or to confirm it in this generation.
+
+        The caller must hold the lock.
+        """
         read = await self._table.read()
         if read.is_err():
             return False
--- a/indigoworks/quarantine/crash_ids.py
+++ b/indigoworks/quarantine/crash_ids.py
@@ -10,8 +10,8 @@
 CRASH_WINDOW_S = 1.0
 """Crashes within one window of the store's steady clock count once: servers of a service or a zone
 may crash together for other reasons, many of them while serving the same popular page. A frequent
-harmful request still crashes servers in three windows within 3 s of its first crash; the users'
-requirement allows three runs that begin later than 3 s after the third."""
+harmful request still crashes servers in three windows within 3 s of its first crash. At most three
+runs of it may begin later than 3 s after its third crash: this is what users require."""
 
 LATE_DETECTION_WINDOWS = 2
 """One gateway may detect a server that stopped responding up to 1.3 s later than another (timeout
--- a/indigoworks/quarantine/quarantine_rows.py
+++ b/indigoworks/quarantine/quarantine_rows.py
@@ -48,9 +48,8 @@
     Reports between peers do not survive a restart of all gateways and do not reach a partitioned
     gateway; rows do. Gateways that detected a crash write once when a request becomes refused and
     once when it is cleared. While a gateway may be partitioned it also writes single crashes:
-    otherwise the sides of a partition could each see two crashes and none count three
-    (8 gateways without contact, ten attempts: ten servers crashed under one request, three with
-    these writes).
+    otherwise the sides of a partition could each see two crashes and none count three. With 8
+    gateways without contact, ten attempts of a request could crash ten servers instead of three.
 
     Ages refer to the store's steady clock, so a row read after a restart has its true age.
 
--- a/indigoworks/quarantine/suspect.py
+++ b/indigoworks/quarantine/suspect.py
@@ -24,10 +24,11 @@
     gateways converge.
 
     :ivar generation: incremented each time that a successful run clears the request; crashes of
-        earlier generations no longer count.
+        earlier generations no longer count. Not the generation of the control log.
     :ivar crashes: ids of server crashes during runs of this generation; see `crash_ids`.
-    :ivar crashed_s: clock reading of the latest of them.
-    :ivar seen_s: clock reading of the latest crash, clearing or refusal.
+    :ivar crashed_s: clock reading of the crash that was recorded last; merging keeps the later one.
+    :ivar seen_s: clock reading of the crash, clearing or refusal that was recorded last; merging
+        keeps the later one.
     :ivar is_shared: it stands for the attempts of all callers.
     """
 
@@ -45,7 +46,7 @@
 
     @property
     def is_refused(self) -> bool:
-        """Return whether the request is refused; a shared one until it may be retried."""
+        """Return whether CRASH_LIMIT is reached; a shared request may be retried all the same."""
         return self.crash_count >= CRASH_LIMIT
 
     def may_be_retried(self, now_s: float) -> bool:
--- a/indigoworks/quarantine/suspect_report_queue.py
+++ b/indigoworks/quarantine/suspect_report_queue.py
@@ -24,7 +24,8 @@
 class SuspectReportQueue:
     """Suspects to report: first those close to a refusal, then those with one crash or cleared.
 
-    The cost of a report does not depend on the number of suspects.
+    A report costs the same for any number of suspects, except for a scan of the whole table at most
+    once in REPEAT_INTERVAL_S.
     """
 
     def __init__(self, table: SuspectTable, clock: Clock) -> None:
@@ -73,7 +74,7 @@
         now_s = self._clock.now()
         if not self._to_repeat and now_s - self._repeated_s >= REPEAT_INTERVAL_S:
             self._repeated_s = now_s
-            # Scanning all suspects for each report took 1 ms with 1,000 of them.
+            # Not for each report: a scan of 1,000 suspects takes 1 ms.
             self._to_repeat.extend(each.mark for each in self._table.all() if len(each.crashes) > 1)
         found: list[Suspect] = []
         while self._to_repeat and len(found) < limit:
