--- a/indigoworks/controller/ownership_manager.py
+++ b/indigoworks/controller/ownership_manager.py
@@ -18,7 +18,7 @@
     mark_draining_servers,
     reassign_ranges_of_lost_servers,
     renew_grants_of_earlier_generations,
-    split_out_hot_keys,
+    split_out_keys_by_setting,
 )
 from indigoworks.controller.rebalancer import Rebalancer
 from indigoworks.controller.router_registry import RouterRegistry
@@ -63,7 +63,7 @@
             drain_leaving_servers,
             NewServiceSplit(),
             assign_unowned_ranges,
-            split_out_hot_keys,
+            split_out_keys_by_setting,
             Rebalancer(),
         )
 
--- a/indigoworks/controller/ownership_rules.py
+++ b/indigoworks/controller/ownership_rules.py
@@ -27,8 +27,9 @@
 
 OwnershipRule = Callable[[OwnershipContext], Sequence[Command]]
 
-HANDOVER_SHARE_PER_ROUND = 4
-"""A leaving server is asked to release a quarter of its ranges in each evaluation of the rules."""
+HANDOVER_DIVISOR = 4
+"""In each evaluation of the rules a leaving server is asked to release its number of ranges divided
+by this."""
 
 
 def reassign_ranges_of_lost_servers(context: OwnershipContext) -> Sequence[Command]:
@@ -98,12 +99,12 @@
             continue
         owned = context.state.ranges_of(server)
         not_asked = [each for each in owned if not each.next_owner and context.is_current(each)]
-        count = max(1, len(owned) // HANDOVER_SHARE_PER_ROUND)
+        count = max(1, len(owned) // HANDOVER_DIVISOR)
         commands += _start_release(context, server.service, not_asked[:count])
     return commands
 
 
-def split_out_hot_keys(context: OwnershipContext) -> Sequence[Command]:
+def split_out_keys_by_setting(context: OwnershipContext) -> Sequence[Command]:
     """Split each key with the setting `own_range` into a range of its own."""
     for service, settings in sorted(context.tree.services.items()):
         for key, leaf in sorted(settings.keys.items()):
