--- a/features/admin_operations.feature
+++ b/features/admin_operations.feature
@@ -50,7 +50,7 @@
       | GET    | /nothing                              |       | 404    | unknown_node       | Under /admin/v1 there are   |
       | POST   | /settings                             |       | 405    | method_not_allowed | Use GET or PUT              |
       | GET    | /owners?servce=shop                   |       | 400    | bad_request        | Parameters of this path     |
-      | GET    | /owners?service=shop&service=shop     |       | 400    | bad_request        | stands twice                |
+      | GET    | /owners?service=shop&service=shop     |       | 400    | bad_request        | is given twice              |
       | GET    | /owners?key=k                         |       | 400    | bad_request        | needs its service           |
       | GET    | /owners?service=none                  |       | 404    | unknown_service    | Known services: shop        |
       | GET    | /settings/resolved                    |       | 400    | bad_request        | Give ?service=NAME          |
@@ -62,7 +62,7 @@
       | PUT    | /settings                             | {change_id: a, tree: {}, tre: 1} | 400 | bad_request | Did you mean 'tree' |
       | PUT    | /settings                             | {change_id: a, tree: {}} | 400 | bad_request   | as If-Match            |
       | PUT    | /settings?expected_version=1          | {change_id: a, expected_version: 2, tree: {}} | 400 | bad_request | Two expected versions |
-      | PUT    | /settings?expected_version=x          | {change_id: a, tree: {}} | 400 | bad_request   | is no number           |
+      | PUT    | /settings?expected_version=x          | {change_id: a, tree: {}} | 400 | bad_request   | is not a number        |
       | PUT    | /settings?expected_version=1          | {change_id: a/b, tree: {}} | 400 | bad_request | Change change_id       |
       | PUT    | /settings?expected_version=1          | {change_id: a, tree: {}} | 422 | invalid_settings | at least one service |
       | PUT    | /settings?expected_version=1          | {change_id: a, tree: {services: {s: {wieght: 1.0}}}} | 422 | invalid_settings | Did you mean 'weight' |
--- a/indigoworks/admin/admin_call.py
+++ b/indigoworks/admin/admin_call.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True)
 class AdminCall:
-    """A request, whichever way it came.
+    """A request, independent of the transport.
 
     :ivar method: HTTP method, upper case.
     :ivar path: path and query, from `/admin/v1`.
--- a/indigoworks/admin/admin_operations.py
+++ b/indigoworks/admin/admin_operations.py
@@ -20,9 +20,9 @@
 
 
 class AdminOperations:
-    """Administration of one control group, answered by this process.
+    """Serves the administration requests of one control group at this process.
 
-    :param settings: None where the tree is not read and changed at this process.
+    :param settings: None: this process serves no operations on the settings tree.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._ownership = ownership
 
     async def handle(self, call: AdminCall) -> AdminResponse:
-        """Answer `call`; see docs/API.md for paths and bodies."""
+        """Run the operation of `call`; see docs/API.md for paths and bodies."""
         outcome = await self._outcome(call)
         if isinstance(outcome, Err):
             return error_response(outcome.unwrap_err())
@@ -80,5 +80,5 @@
 
 
 def all_operations(plane: ControlPlane) -> AdminOperations:
-    """Return the operations of a process at which the tree can be changed as well."""
+    """Return all operations, including those on the settings tree."""
     return AdminOperations(OwnershipOperations(plane), SettingsOperations(plane))
--- a/indigoworks/admin/admin_query.py
+++ b/indigoworks/admin/admin_query.py
@@ -1,4 +1,4 @@
-"""Path and query of an administration request."""
+"""Parsing of the path and query of an administration request."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class AdminQuery:
-    """The parameters of a request, decoded to bytes since a key may be any bytes."""
+    """The parameters of a request, as bytes because a key may be any bytes."""
 
     values: dict[str, bytes]
 
@@ -33,7 +33,7 @@
 
 
 def parse_query(query: str, allowed: Collection[str]) -> Result[AdminQuery, AdminError]:
-    """Return the parameters; BadAdminRequest for an unknown or doubled one."""
+    """Return the parameters; BadAdminRequest for an unknown or repeated one."""
     values: dict[str, bytes] = {}
     for name, value in parse_qsl(query, keep_blank_values=True, encoding="latin-1"):
         if name not in allowed:
@@ -44,7 +44,7 @@
                 )
             )
         if name in values:
-            return Err(BadAdminRequest(f"Parameter {name!r} stands twice.", "Give it once."))
-        # Latin-1 maps percent-encoded bytes one to one; text outside it was not encoded.
+            return Err(BadAdminRequest(f"Parameter {name!r} is given twice.", "Give it once."))
+        # Latin-1 maps percent-encoded bytes one to one; characters outside it were sent unencoded.
         values[name] = value.encode("latin-1", "replace")
     return Ok(AdminQuery(values))
--- a/indigoworks/admin/admin_response.py
+++ b/indigoworks/admin/admin_response.py
@@ -1,15 +1,15 @@
-"""An answer of the administration API."""
+"""A response of the administration API."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class AdminResponse:
-    """An answer, whichever way it goes.
+    """A response, independent of the transport.
 
     :ivar status: HTTP status.
     :ivar body: JSON.
-    :ivar retry_after_s: seconds after which a repeat may succeed; 0: none said.
+    :ivar retry_after_s: seconds after which a retry may succeed; 0: unknown.
     """
 
     status: int
--- a/indigoworks/admin/administration.py
+++ b/indigoworks/admin/administration.py
@@ -1,4 +1,4 @@
-"""The administration API, apart from its transport."""
+"""Interface of the administration API, independent of the transport."""
 
 from typing import Protocol
 
@@ -7,8 +7,8 @@
 
 
 class Administration(Protocol):
-    """Answers administration requests, here or by passing them on."""
+    """Handles administration requests, locally or by forwarding them."""
 
     async def handle(self, call: AdminCall) -> AdminResponse:
-        """Answer `call`; errors are answers too."""
+        """Return the response to `call`; errors are returned as responses too."""
         ...
--- a/indigoworks/admin/bodies/body.py
+++ b/indigoworks/admin/bodies/body.py
@@ -1,4 +1,4 @@
-"""Base of the JSON bodies."""
+"""Base class of the JSON bodies."""
 
 from pydantic import BaseModel, ConfigDict
 
--- a/indigoworks/admin/bodies/change_progress_body.py
+++ b/indigoworks/admin/bodies/change_progress_body.py
@@ -4,7 +4,7 @@
 
 
 class ChangeProgressBody(Body):
-    """An accepted change and the routers that have it in force."""
+    """An accepted change and the number of routers that have it in force."""
 
     change_id: str
     version: int
--- a/indigoworks/admin/bodies/health_body.py
+++ b/indigoworks/admin/bodies/health_body.py
@@ -1,11 +1,11 @@
-"""Body of the state of the control group."""
+"""Body of the state of a controller."""
 
 from indigoworks.admin.bodies.body import Body
 from indigoworks.admin.bodies.member_body import MemberBody
 
 
 class HealthBody(Body):
-    """The controller that answered, and how far it is."""
+    """Role and progress of the controller that responded."""
 
     member: MemberBody
     role: str
--- a/indigoworks/admin/bodies/member_body.py
+++ b/indigoworks/admin/bodies/member_body.py
@@ -1,11 +1,11 @@
-"""Body of a process of the system."""
+"""Body of a member: one process of the system."""
 
 from indigoworks.admin.bodies.body import Body
 from indigoworks.wire.control_pb2 import Member
 
 
 class MemberBody(Body):
-    """One run of one process."""
+    """One incarnation (run) of a process."""
 
     name: str
     incarnation: str
--- a/indigoworks/admin/bodies/members_body.py
+++ b/indigoworks/admin/bodies/members_body.py
@@ -5,9 +5,9 @@
 
 
 class MembersBody(Body):
-    """Controllers in touch with the leader, and the leader where one is known.
+    """Controllers in contact with the leader, and the leader if one is known.
 
-    The names are of the time when controllers voted; `learners` is empty.
+    The field names date from when controllers voted; `learners` is empty.
     """
 
     voters: list[MemberBody]
--- a/indigoworks/admin/bodies/owners_body.py
+++ b/indigoworks/admin/bodies/owners_body.py
@@ -7,8 +7,8 @@
 class OwnersBody(Body):
     """Ranges, sorted by service and start.
 
-    :ivar view_version: log index that the answer reflects.
-    :ivar place: place of the asked key in the key space; empty where no key was asked.
+    :ivar view_version: log index of the state in this response.
+    :ivar place: position of the requested key in the key space; empty if no key was requested.
     """
 
     view_version: int
--- a/indigoworks/admin/bodies/range_body.py
+++ b/indigoworks/admin/bodies/range_body.py
@@ -5,7 +5,7 @@
 
 
 class RangeBody(Body):
-    """A range and its owner; the ends are hexadecimal texts, both included."""
+    """A range and its owner; `start` and `end` are hexadecimal and inclusive."""
 
     service: str
     start: str
@@ -31,6 +31,6 @@
         )
 
 
-def hexadecimal(place: int) -> str:
-    """Return a place in the key space as 0x and 16 digits."""
-    return f"0x{place:016x}"
+def hexadecimal(position: int) -> str:
+    """Return a position in the key space as 0x and 16 digits."""
+    return f"0x{position:016x}"
--- a/indigoworks/admin/bodies/resolved_body.py
+++ b/indigoworks/admin/bodies/resolved_body.py
@@ -1,14 +1,14 @@
-"""Body of the resolved settings of a node of the tree."""
+"""Body of the resolved settings of a service, group and key."""
 
 from indigoworks.admin.bodies.body import Body
 from indigoworks.admin.bodies.resolved_value_body import ResolvedValueBody
 
 
 class ResolvedBody(Body):
-    """Every setting of a service, group and key.
+    """Every setting, resolved for a service, group and key.
 
-    :ivar group: group as asked for; empty: none.
-    :ivar key: key as text, escaped where it is not UTF-8; empty: none.
+    :ivar group: requested group; empty: none.
+    :ivar key: requested key, bytes that are not UTF-8 escaped; empty: none.
     """
 
     version: int
--- a/indigoworks/admin/bodies/router_body.py
+++ b/indigoworks/admin/bodies/router_body.py
@@ -5,9 +5,9 @@
 
 
 class RouterBody(Body):
-    """A router and what it has in force.
+    """A router and the versions that it has in force.
 
-    :ivar since_poll_s: seconds since it last asked for its view.
+    :ivar since_poll_s: seconds since it last polled for its view.
     """
 
     member: MemberBody
--- a/indigoworks/admin/bodies/routers_body.py
+++ b/indigoworks/admin/bodies/routers_body.py
@@ -5,6 +5,6 @@
 
 
 class RoutersBody(Body):
-    """Routers that asked for a view lately, sorted by name."""
+    """Routers that polled for a view recently, sorted by name."""
 
     routers: list[RouterBody]
--- a/indigoworks/admin/bodies/settings_body.py
+++ b/indigoworks/admin/bodies/settings_body.py
@@ -6,11 +6,11 @@
 
 
 class SettingsBody(Body):
-    """The tree in force.
+    """The settings tree in force.
 
-    :ivar version: 0 where no tree has been accepted yet.
-    :ivar change_id: change that made the version.
-    :ivar tree: None where no tree has been accepted yet.
+    :ivar version: 0 if no tree has been accepted yet.
+    :ivar change_id: change that created the version.
+    :ivar tree: None if no tree has been accepted yet.
     """
 
     version: int
--- a/indigoworks/admin/bodies/settings_change_body.py
+++ b/indigoworks/admin/bodies/settings_change_body.py
@@ -10,10 +10,10 @@
 
 
 class SettingsChangeBody(Body):
-    """What an operator sends with PUT /settings.
+    """Body of PUT /settings.
 
-    :ivar change_id: chosen by the client, unique to the change.
-    :ivar expected_version: version that the tree is based on; may come as If-Match instead.
+    :ivar change_id: chosen by the client; unique for each change.
+    :ivar expected_version: version that the tree is based on; may be sent as If-Match instead.
     :ivar tree: the whole new tree.
     """
 
--- a/indigoworks/admin/change_progress.py
+++ b/indigoworks/admin/change_progress.py
@@ -1,13 +1,13 @@
-"""How far an accepted change has come."""
+"""Progress of an accepted settings change."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ChangeProgress:
-    """Routers that serve under the change's version, or a later one.
+    """Number of routers that serve under the change's version or a later one.
 
-    :ivar routers_total: routers whose view lease may still run.
+    :ivar routers_total: routers whose view lease may be unexpired.
     :ivar is_everywhere: no router can serve under an older version any more.
     """
 
--- a/indigoworks/admin/control_plane.py
+++ b/indigoworks/admin/control_plane.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of a process of the system."""
+"""Interfaces through which the administration API reads and changes a process's state."""
 
 from collections.abc import Collection, Sequence
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 
 class OwnershipPlane(Protocol):
-    """What a controller or a gateway tells of members, servers and owners."""
+    """Members, servers and owners as a controller or a gateway knows them."""
 
     def status(self) -> ControlPlaneStatus:
         """Return role and progress of this process."""
@@ -26,7 +26,7 @@
         ...
 
     def configuration(self) -> Configuration:
-        """Return the members of the control group that are in touch."""
+        """Return the members of the control group that are in contact."""
         ...
 
     def known_services(self) -> Collection[str]:
@@ -34,29 +34,29 @@
         ...
 
     def position_of(self, key: bytes) -> Result[int, AdminError]:
-        """Return the place of a key in the key space; BadAdminRequest where it can have none."""
+        """Return the position of a key in the key space; BadAdminRequest for an invalid key."""
         ...
 
     async def routers(self) -> Sequence[RouterPresence]:
-        """Return the processes that forward requests and were heard lately."""
+        """Return the processes that forward requests and were seen recently."""
         ...
 
     async def drain_server(self, name: str) -> Result[None, AdminError]:
-        """Empty a back end: it gets nothing new and hands its ranges over."""
+        """Drain a back end: it is assigned nothing new and hands over its ranges."""
         ...
 
 
 class ControlPlane(OwnershipPlane, Protocol):
-    """A process at which the settings tree can be changed as well: a controller."""
+    """An OwnershipPlane that can also change the settings tree: a controller."""
 
     async def change_settings(self, change: SettingsChange) -> Result[SettingsAccepted, AdminError]:
-        """Put a checked tree in force.
+        """Put a validated tree in force.
 
         :returns: SettingsConflict, ChangeIdReused, SettingsStoreUnavailable or NotLeader when
-            nothing took effect; SettingsOutcomeUnknown when it may have.
+            nothing took effect; SettingsOutcomeUnknown when the change may have.
         """
         ...
 
     async def change_progress(self, change_id: str) -> Result[ChangeProgress, AdminError]:
-        """Return how far an accepted change has come; UnknownChange when there is none."""
+        """Return the progress of an accepted change; UnknownChange if there is none."""
         ...
--- a/indigoworks/admin/control_plane_status.py
+++ b/indigoworks/admin/control_plane_status.py
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class ControlPlaneStatus:
-    """What a controller tells of itself.
+    """Role and progress that a controller reports.
 
     :ivar member: this controller.
     :ivar role: `leader` or `follower`.
-    :ivar leader: the leader it knows, or None.
+    :ivar leader: the leader that it knows, or None.
     """
 
     member: Member
--- a/indigoworks/admin/error_response.py
+++ b/indigoworks/admin/error_response.py
@@ -1,4 +1,4 @@
-"""Answers that carry an error."""
+"""Responses that report an error."""
 
 import json
 from dataclasses import fields
@@ -11,7 +11,7 @@
 
 
 def error_response(error: AdminError) -> AdminResponse:
-    """Return the JSON answer: kind, message, remedy, retry_after_s, and the kind's own fields."""
+    """Return kind, message, remedy, retry_after_s and the kind's own fields as JSON."""
     content: dict[str, Any] = {
         "kind": error.kind,
         "message": error.message,
--- a/indigoworks/admin/errors.py
+++ b/indigoworks/admin/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the administration API answers with."""
+"""Errors that the administration API returns."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -13,7 +13,7 @@
 class AdminError(IndigoworksError):
     """Base of the errors of the administration API.
 
-    :cvar http_status: status of the answer.
+    :cvar http_status: status of the response.
     """
 
     kind: ClassVar[str] = "admin"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class UnknownNode(AdminError):
-    """Nothing stands under that name: a service, server, change or path of the API."""
+    """No service, server, change or API path has that name."""
 
     kind: ClassVar[str] = "unknown_node"
     http_status: ClassVar[int] = 404
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class UnknownService(UnknownNode):
-    """The settings tree names no such service."""
+    """The settings tree has no such service."""
 
     kind: ClassVar[str] = "unknown_service"
 
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class UnknownChange(UnknownNode):
-    """No accepted change has that id: it was refused, or has not been seen."""
+    """No accepted change has that id: it was refused, or never received."""
 
     kind: ClassVar[str] = "unknown_change"
 
 
 @dataclass(frozen=True)
 class MethodNotAllowed(AdminError):
-    """The path exists but not with that method."""
+    """The path exists but does not support that method."""
 
     kind: ClassVar[str] = "method_not_allowed"
     http_status: ClassVar[int] = 405
@@ -90,9 +90,9 @@
 
 @dataclass(frozen=True)
 class InvalidSettings(AdminError):
-    """The tree was refused by its checks; nothing took effect.
+    """Validation of the tree failed; nothing took effect.
 
-    :ivar problems: every fault that was found.
+    :ivar problems: all problems that were found.
     """
 
     problems: tuple[SettingsProblem, ...] = ()
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True)
 class SettingsStoreUnavailable(AdminError):
-    """The platform's table service cannot take the change now; nothing took effect."""
+    """The platform's table service cannot store the change now; nothing took effect."""
 
     kind: ClassVar[str] = "settings_store_unavailable"
     http_status: ClassVar[int] = 503
@@ -116,9 +116,9 @@
 
 @dataclass(frozen=True)
 class SettingsOutcomeUnknown(AdminError):
-    """The change may have taken effect: its progress tells.
+    """The change may have taken effect; query its progress to find out.
 
-    :ivar change_id: id to ask the progress of.
+    :ivar change_id: id whose progress to query.
     """
 
     change_id: str = ""
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True)
 class AdminOutcomeUnknown(AdminError):
-    """The leader did not answer: the request may have taken effect."""
+    """The leader did not respond: the request may have taken effect."""
 
     kind: ClassVar[str] = "outcome_unknown"
     http_status: ClassVar[int] = 504
--- a/indigoworks/admin/health_report.py
+++ b/indigoworks/admin/health_report.py
@@ -1,14 +1,14 @@
-"""Whether a process serves."""
+"""Health of a process."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class HealthReport:
-    """Answer of GET /health.
+    """Response to GET /health.
 
-    :ivar is_serving: the process takes requests.
-    :ivar reason: why it does not, one sentence; empty when it serves.
+    :ivar is_serving: the process accepts requests.
+    :ivar reason: why it does not, in one sentence; empty when it does.
     """
 
     is_serving: bool
--- a/indigoworks/admin/http_handlers.py
+++ b/indigoworks/admin/http_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP side of the administration API, metrics and health, for tornado."""
+"""Tornado handlers of the administration API, metrics and health."""
 
 import json
 import math
@@ -24,26 +24,26 @@
 
 
 class AdminHandler(RequestHandler):
-    """Passes /admin/v1/... to an Administration."""
+    """Passes requests for /admin/v1/... to an Administration."""
 
     def initialize(self, administration: Administration) -> None:
-        """Take the Administration that answers."""
+        """Set the Administration that handles requests."""
         self._administration = administration
 
     async def prepare(self) -> None:
-        """Answer whatever the method: the Administration refuses the wrong ones."""
+        """Respond to every HTTP method: the Administration refuses unsupported ones."""
         request = self.request
         call = AdminCall(request.method or "", self._path(), request.body)
-        self._write_answer(await self._administration.handle(call))
+        self._write_response(await self._administration.handle(call))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer a fault of the program as JSON."""
+        """Respond to an unexpected exception with a JSON error."""
         error = AdminError("The process failed on this request.", "See the log of that process.")
-        answer = error_response(error)
-        self._write_answer(AdminResponse(status_code, answer.body))
+        response = error_response(error)
+        self._write_response(AdminResponse(status_code, response.body))
 
     def _path(self) -> str:
-        """Return path and query; If-Match becomes the parameter expected_version."""
+        """Return path and query, with If-Match as the parameter expected_version."""
         path = self.request.uri or ""
         condition = self.request.headers.get("If-Match")
         if condition is None:
@@ -51,36 +51,36 @@
         version = condition.strip().removeprefix("W/").strip('"')
         return f"{path}{'&' if '?' in path else '?'}expected_version={quote(version, safe='')}"
 
-    def _write_answer(self, answer: AdminResponse) -> None:
-        self.set_status(answer.status)
+    def _write_response(self, response: AdminResponse) -> None:
+        self.set_status(response.status)
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
-        if answer.retry_after_s > 0:
-            self.set_header("Retry-After", str(math.ceil(answer.retry_after_s)))
-        self.finish(answer.body)
+        if response.retry_after_s > 0:
+            self.set_header("Retry-After", str(math.ceil(response.retry_after_s)))
+        self.finish(response.body)
 
 
 class MetricsHandler(RequestHandler):
-    """Metrics in the text format of Prometheus."""
+    """Serves metrics in the text format of Prometheus."""
 
     def initialize(self, registry: CollectorRegistry) -> None:
-        """Take the registry to read."""
+        """Set the registry to read."""
         self._registry = registry
 
     def get(self) -> None:
-        """Write the metrics."""
+        """Respond with the metrics."""
         self.set_header("Content-Type", CONTENT_TYPE_LATEST)
         self.finish(generate_latest(self._registry))
 
 
 class HealthHandler(RequestHandler):
-    """200 while the process serves, 503 with the reason while it does not."""
+    """Responds 200 while the process serves, otherwise 503 with the reason."""
 
     def initialize(self, health: HealthSource) -> None:
-        """Take the source of the report."""
+        """Set the source of the report."""
         self._health = health
 
     def get(self) -> None:
-        """Write the report."""
+        """Respond with the report."""
         report = self._health()
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
         if not report.is_serving:
--- a/indigoworks/admin/ownership_operations.py
+++ b/indigoworks/admin/ownership_operations.py
@@ -24,13 +24,13 @@
 
 
 class OwnershipOperations:
-    """Reads the applied state of an OwnershipPlane; may ask it to drain a back end."""
+    """Reads the applied state of an OwnershipPlane, and drains back ends through it."""
 
     def __init__(self, plane: OwnershipPlane) -> None:
         self._plane = plane
 
     def routes(self) -> dict[tuple[str, ...], dict[str, Route]]:
-        """Return the operations that have a path of their own, by path and method."""
+        """Return the operations with a fixed path, by path and method."""
         return {
             ("owners",): {"GET": Route(self.owners, ("service", "key"))},
             ("servers",): {"GET": Route(self.servers)},
@@ -49,14 +49,14 @@
         found = Ok(None) if key is None else self._plane.position_of(key)
         if isinstance(found, Err):
             return found
-        place = found.unwrap()
+        position = found.unwrap()
         state = self._plane.state()
-        ranges = [each for each in state.ranges if _matches(each, service, place)]
+        ranges = [each for each in state.ranges if _matches(each, service, position)]
         ranges.sort(key=lambda each: (each.service, each.start))
         return Ok(
             OwnersBody(
                 view_version=state.last_index,
-                place="" if place is None else hexadecimal(place),
+                place="" if position is None else hexadecimal(position),
                 ranges=[RangeBody.of(each) for each in ranges],
             )
         )
@@ -81,13 +81,13 @@
         )
 
     async def routers(self, _query: AdminQuery, _body: bytes) -> Result[RoutersBody, AdminError]:
-        """Return the routers that asked for a view lately."""
+        """Return the routers that polled for a view recently."""
         routers = await self._plane.routers()
         bodies = [_router_body(each) for each in sorted(routers, key=lambda r: r.member.name)]
         return Ok(RoutersBody(routers=bodies))
 
     async def health(self, _query: AdminQuery, _body: bytes) -> Result[HealthBody, AdminError]:
-        """Return role and progress of the process that answers."""
+        """Return role and progress of this process."""
         status = self._plane.status()
         return Ok(
             HealthBody(
@@ -102,15 +102,15 @@
         )
 
     async def drain(self, server: str) -> Result[DrainBody, AdminError]:
-        """Ask for a back end to be emptied."""
+        """Start draining a back end."""
         drained = await self._plane.drain_server(server)
         return drained.map(lambda _: DrainBody(server=server))
 
 
-def _matches(record: RangeRecord, service: str | None, place: int | None) -> bool:
+def _matches(record: RangeRecord, service: str | None, position: int | None) -> bool:
     if service is not None and record.service != service:
         return False
-    return place is None or record.start <= place <= record.end
+    return position is None or record.start <= position <= record.end
 
 
 def _member_body(member: Member | None) -> MemberBody | None:
--- a/indigoworks/admin/route.py
+++ b/indigoworks/admin/route.py
@@ -1,4 +1,4 @@
-"""An operation of the administration API and its parameters."""
+"""Route of the administration API: an operation and its query parameters."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """An operation and the parameters that it takes."""
+    """An operation and the query parameters that it accepts."""
 
     operation: Operation
     parameters: tuple[str, ...] = ()
--- a/indigoworks/admin/router_presence.py
+++ b/indigoworks/admin/router_presence.py
@@ -1,4 +1,4 @@
-"""A router as the leader sees it."""
+"""A router as the leader knows it."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class RouterPresence:
-    """A router and what it has in force.
+    """A router and the versions that it has in force.
 
     :ivar settings_version: version of the tree that it serves under.
     :ivar view_version: version of its view of owners.
-    :ivar since_poll_s: seconds since it last asked for its view.
+    :ivar since_poll_s: seconds since it last polled for its view.
     """
 
     member: Member
--- a/indigoworks/admin/settings_accepted.py
+++ b/indigoworks/admin/settings_accepted.py
@@ -5,9 +5,9 @@
 
 @dataclass(frozen=True)
 class SettingsAccepted:
-    """The change is durable and in the log.
+    """A change that is durable and in the log.
 
-    :ivar version: version of the tree that the change made.
+    :ivar version: version of the tree that the change created.
     """
 
     change_id: str
--- a/indigoworks/admin/settings_change.py
+++ b/indigoworks/admin/settings_change.py
@@ -1,15 +1,15 @@
-"""A change of the settings tree that an operator asks for."""
+"""A change of the settings tree requested by an operator."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class SettingsChange:
-    """A whole new tree, to replace the version that the operator started from.
+    """A complete new tree that replaces the version it is based on.
 
-    :ivar change_id: chosen by the operator's client; a repeat under the same id is the same change.
+    :ivar change_id: chosen by the operator's client; a retry with the same id is the same change.
     :ivar expected_version: version that the change is based on; 0: there is no tree yet.
-    :ivar tree: canonical JSON of the checked tree.
+    :ivar tree: canonical JSON of the validated tree.
     """
 
     change_id: str
--- a/indigoworks/admin/settings_difference.py
+++ b/indigoworks/admin/settings_difference.py
@@ -1,4 +1,4 @@
-"""The difference of two settings trees."""
+"""Difference between two settings trees."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from indigoworks.settings.settings_tree import SettingsTree
 
 JsonValue = Any
-"""A plain JSON value; None where the field is not set."""
+"""A plain JSON value; None if the field is not set."""
 
 
 @dataclass(frozen=True)
@@ -15,8 +15,8 @@
     """One field that differs.
 
     :ivar path: dotted path of the field, such as `services.catalogue.weight`.
-    :ivar old: value in the first tree; None where it is not set.
-    :ivar new: value in the second tree; None where it is not set.
+    :ivar old: value in the first tree; None if it is not set.
+    :ivar new: value in the second tree; None if it is not set.
     """
 
     path: str
--- a/indigoworks/admin/settings_operations.py
+++ b/indigoworks/admin/settings_operations.py
@@ -35,7 +35,7 @@
         self._plane = plane
 
     def routes(self) -> dict[tuple[str, ...], dict[str, Route]]:
-        """Return the operations that have a path of their own, by path and method."""
+        """Return the operations with a fixed path, by path and method."""
         return {
             ("settings",): {
                 "GET": Route(self.show),
@@ -76,7 +76,7 @@
     async def change(
         self, query: AdminQuery, body: bytes
     ) -> Result[ChangeProgressBody, AdminError]:
-        """Check a new tree and put it in force."""
+        """Validate a new tree and put it in force."""
         change = _parse_change(query, body)
         if isinstance(change, Err):
             return change
@@ -86,7 +86,7 @@
         progress = await self._plane.change_progress(accepted.unwrap().change_id)
         if isinstance(progress, Ok):
             return Ok(_progress_body(progress.unwrap()))
-        # The change is accepted whatever became of the count: tell the version, count nobody.
+        # The change is accepted even if its progress is unknown: return its version and no routers.
         version = accepted.unwrap().version
         return Ok(_progress_body(ChangeProgress(accepted.unwrap().change_id, version, 0, 0, False)))
 
@@ -96,7 +96,7 @@
         return progress.map(_progress_body)
 
     def tree(self) -> SettingsTree:
-        """Return the tree in force; an empty one where none has been accepted."""
+        """Return the tree in force, or an empty one if none has been accepted."""
         content = self._plane.state().settings_tree
         return SettingsTree.model_validate_json(content) if content else SettingsTree()
 
@@ -113,7 +113,7 @@
     version = _expected_version(query, fields)
     if isinstance(version, Err):
         return version
-    tree = _checked_tree(fields)
+    tree = _validated_tree(fields)
     if isinstance(tree, Err):
         return tree
     content = canonical_json(tree.unwrap())
@@ -124,8 +124,8 @@
     return BadAdminRequest(error.message, error.remedy)
 
 
-def _checked_tree(fields: SettingsChangeBody) -> Result[SettingsTree, AdminError]:
-    # YAML values such as dates have no JSON form; as text they are refused by the field's type.
+def _validated_tree(fields: SettingsChangeBody) -> Result[SettingsTree, AdminError]:
+    # YAML values such as dates have no JSON form; as text they fail the type check of the field.
     content = json.dumps(fields.tree, default=str).encode("utf-8")
     return parse_tree(content).map_err(InvalidSettings.from_document)
 
@@ -135,15 +135,15 @@
     if text is not None and not text.isdecimal():
         return Err(
             BadAdminRequest(
-                f"Expected version {text!r} is no number.", "Give the version that you read."
+                f"Expected version {text!r} is not a number.", "Give the version that you read."
             )
         )
     given = {each for each in (int(text) if text else None, fields.expected_version)} - {None}
     if len(given) == 1:
         return Ok(next(each for each in given if each is not None))
-    fault = "Two expected versions differ." if given else "The expected version is missing."
+    message = "Two expected versions differ." if given else "The expected version is missing."
     remedy = "Send the version that you read, as If-Match or as expected_version; 0 for the first."
-    return Err(BadAdminRequest(fault, remedy))
+    return Err(BadAdminRequest(message, remedy))
 
 
 def _progress_body(progress: ChangeProgress) -> ChangeProgressBody:
--- a/indigoworks/admin/unknown_names.py
+++ b/indigoworks/admin/unknown_names.py
@@ -1,4 +1,4 @@
-"""Errors on names that the system does not know."""
+"""Errors for unknown names."""
 
 from collections.abc import Iterable
 
