--- a/indigoworks/cli/__init__.py
+++ b/indigoworks/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/indigoworks/cli/admin_client.py
+++ b/indigoworks/cli/admin_client.py
@@ -22,40 +22,40 @@
 
 
 class AdminClient:
-    """Asks one node, one request at a time; nothing is retried."""
+    """Sends requests to one node, one at a time, without retries."""
 
     def __init__(self, node: str) -> None:
         self._node = node
 
     def get(
-        self, path: str, answer: type[BodyT], query: dict[str, str | bytes] | None = None
+        self, path: str, body_type: type[BodyT], query: dict[str, str | bytes] | None = None
     ) -> Result[BodyT, CommandError]:
-        """Read `path` (below /admin/v1); an empty parameter is left out."""
+        """Send GET for `path` (below /admin/v1); empty query parameters are left out."""
         given = {name: value for name, value in (query or {}).items() if value}
-        tail = f"?{urlencode(given)}" if given else ""
-        return self._ask("GET", path + tail, None, answer)
+        query_text = f"?{urlencode(given)}" if given else ""
+        return self._request("GET", path + query_text, None, body_type)
 
-    def put(self, path: str, body: Body, answer: type[BodyT]) -> Result[BodyT, CommandError]:
-        """Change what stands under `path`."""
-        return self._ask("PUT", path, body.model_dump_json().encode("utf-8"), answer)
+    def put(self, path: str, body: Body, body_type: type[BodyT]) -> Result[BodyT, CommandError]:
+        """Send PUT for `path` (below /admin/v1)."""
+        return self._request("PUT", path, body.model_dump_json().encode("utf-8"), body_type)
 
     def pause(self, duration_s: float) -> None:
-        """Wait before the next question."""
+        """Wait before the next request."""
         asyncio.run(asyncio.sleep(duration_s))
 
-    def _ask(
-        self, method: str, path: str, body: bytes | None, answer: type[BodyT]
+    def _request(
+        self, method: str, path: str, body: bytes | None, body_type: type[BodyT]
     ) -> Result[BodyT, CommandError]:
         fetched = asyncio.run(self._fetch(method, path, body))
         if isinstance(fetched, Err):
             return fetched
         response = fetched.unwrap()
         if response.code != HTTPStatus.OK:
-            return Err(self._refusal(response))
+            return Err(self._error_from(response))
         try:
-            return Ok(answer.model_validate_json(response.body))
+            return Ok(body_type.model_validate_json(response.body))
         except ValidationError:
-            return Err(self._no_node())
+            return Err(self._not_a_node())
 
     async def _fetch(
         self, method: str, path: str, body: bytes | None
@@ -71,29 +71,29 @@
         client = SimpleAsyncHTTPClient(force_instance=True)
         try:
             return Ok(await client.fetch(request, raise_error=False))
-        except Exception as error:  # tornado raises whatever its streams and resolver raise
-            return Err(self._not_answered(method, error))
+        except Exception as error:  # tornado passes on any error of its streams and resolver
+            return Err(self._transport_error(method, error))
         finally:
             client.close()
 
-    def _not_answered(self, method: str, error: Exception) -> CommandError:
+    def _transport_error(self, method: str, error: Exception) -> CommandError:
         was_sent = not isinstance(error, ConnectionRefusedError) and "connecting" not in str(error)
         if method != "GET" and was_sent:
             return NodeAnswerLost(
-                f"{self._node} did not answer: the change may have taken effect.",
-                "Ask for its progress with `indigoworks settings progress CHANGE_ID`.",
+                f"{self._node} did not respond: the change may have taken effect.",
+                "Check its progress with `indigoworks settings progress CHANGE_ID`.",
             )
         return NodeUnreachable(
-            f"{self._node} cannot be asked: {error}.",
+            f"{self._node} cannot be reached: {error}.",
             "Check that a router, controller or gateway serves HTTP there, or name another --node.",
         )
 
-    def _refusal(self, response: HTTPResponse) -> CommandError:
+    def _error_from(self, response: HTTPResponse) -> CommandError:
         try:
             content = json.loads(response.body)
             message, remedy, kind = content["message"], content["remedy"], content["kind"]
         except (ValueError, KeyError, TypeError):
-            return self._no_node()
+            return self._not_a_node()
         if response.code == HTTPStatus.BAD_REQUEST:
             return Misuse(message, remedy)
         if response.code == HTTPStatus.GATEWAY_TIMEOUT:
@@ -101,9 +101,9 @@
         detail = _difference_text(content)
         return Refused(message + detail, remedy, content.get("retry_after_s", 0.0), reason=kind)
 
-    def _no_node(self) -> CommandError:
+    def _not_a_node(self) -> CommandError:
         return NodeUnreachable(
-            f"{self._node} does not answer as an indigoworks node.",
+            f"{self._node} does not respond as an indigoworks node.",
             "Give the HTTP address of a router or controller, or a gateway's port for metrics.",
         )
 
--- a/indigoworks/cli/admin_commands.py
+++ b/indigoworks/cli/admin_commands.py
@@ -38,16 +38,16 @@
     routers = client.get("/routers", RoutersBody)
     if isinstance(routers, Err):
         return routers
-    parts = {"health": health.unwrap().model_dump(mode="json")}
+    sections = {"health": health.unwrap().model_dump(mode="json")}
     for body in (members.unwrap(), servers.unwrap(), routers.unwrap()):
-        parts.update(body.model_dump(mode="json"))
-    return Ok(json_report(parts))
+        sections.update(body.model_dump(mode="json"))
+    return Ok(json_report(sections))
 
 
 def explain_key(
     client: AdminClient, service: str, key: str, group: str | None
 ) -> Result[Report, IndigoworksError]:
-    """Return place, range and owner of a key and where each of its settings comes from."""
+    """Return position, range and owner of a key, and the level that sets each setting."""
     owners = client.get("/owners", OwnersBody, {"service": service, "key": key})
     if isinstance(owners, Err):
         return owners
--- a/indigoworks/cli/administration_server.py
+++ b/indigoworks/cli/administration_server.py
@@ -15,25 +15,25 @@
 
 
 class AdministrationServer:
-    """Serves administration, metrics and health of a part."""
+    """Serves administration, metrics and health of a component."""
 
     def __init__(
-        self, part: ProcessComponent, address: Address, rules: Sequence[HandlerRule]
+        self, component: ProcessComponent, address: Address, rules: Sequence[HandlerRule]
     ) -> None:
-        self._part = part
+        self._component = component
         self._address = address
         handlers: list[Any] = list(rules)
         self._server = HTTPServer(Application(handlers), max_body_size=MAX_BODY_BYTES)
 
     def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         :raises OSError: the address cannot be bound.
         """
         self._server.listen(self._address.port, self._address.host)
 
     async def stop(self) -> None:
-        """Stop the part, then close; health tells of the stop meanwhile."""
-        await self._part.stop()
+        """Stop the component, then close; health reports the stop meanwhile."""
+        await self._component.stop()
         self._server.stop()
         await self._server.close_all_connections()
--- a/indigoworks/cli/arguments.py
+++ b/indigoworks/cli/arguments.py
@@ -1,4 +1,4 @@
-"""The command line before and after fire reads it."""
+"""Preparation of the command line for fire, which parses it."""
 
 import json
 from collections.abc import Sequence
@@ -9,30 +9,30 @@
 
 
 def as_texts(arguments: Sequence[str]) -> list[str]:
-    """Quote the values that fire would turn into numbers or lists: every value is text here.
+    """Quote the values that fire would parse as numbers or lists: every value here is text.
 
-    A key `0012` or `1_000` must reach the system as it was typed.
+    A key `0012` or `1_000` must be sent as typed.
     """
     return [_as_text(each) for each in arguments]
 
 
 def wants_help(arguments: Sequence[str]) -> bool:
-    """Tell whether a help flag stands anywhere."""
+    """Return whether any argument is a help flag."""
     return any(each in HELP_FLAGS for each in arguments)
 
 
 def command_path(root: object, arguments: Sequence[str]) -> list[str]:
     """Return the leading arguments that name a command below `root`."""
     path: list[str] = []
-    place: object = root
+    component: object = root
     for argument in arguments:
-        # fire takes dashes in the name of a command for underscores.
+        # fire treats dashes in the name of a command as underscores.
         name = argument.replace("-", "_")
-        if name.startswith("_") or not hasattr(type(place), name):
+        if name.startswith("_") or not hasattr(type(component), name):
             break
         path.append(argument)
-        place = getattr(place, name)
-        if callable(place):
+        component = getattr(component, name)
+        if callable(component):
             break
     return path
 
--- a/indigoworks/cli/commands.py
+++ b/indigoworks/cli/commands.py
@@ -1,8 +1,8 @@
 """The commands of `indigoworks`."""
 
 from indigoworks.cli.admin_commands import explain_key, read_owners, read_status
-from indigoworks.cli.flag_values import first_fault, optional_text, required_text
-from indigoworks.cli.node_command import ask_node
+from indigoworks.cli.flag_values import first_error, optional_text, required_text
+from indigoworks.cli.node_command import query_node
 from indigoworks.cli.pending_command import PendingCommand, refuse
 from indigoworks.cli.process_flags import ProcessFlags
 from indigoworks.cli.settings_commands import SettingsCommands
@@ -11,8 +11,8 @@
 class Commands:
     """Routes requests to servers that own keys exclusively.
 
-    Exit codes: 0 done, 1 refused, 2 misuse. Operator commands print JSON and ask any router or
-    controller: give --node http://IP:PORT or set INDIGOWORKS_NODE.
+    Exit codes: 0 done, 1 refused, 2 misuse. Operator commands print JSON and query any router
+    or controller: give --node http://IP:PORT or set INDIGOWORKS_NODE.
     """
 
     settings = SettingsCommands()
@@ -33,21 +33,21 @@
         log_level: str | None = None,
         seed: str | None = None,
     ) -> PendingCommand:
-        """Run a controller until SIGTERM or SIGINT. A flag wins over the settings file.
+        """Run a controller until SIGTERM or SIGINT. Flags override the settings file.
 
         Args:
-            settings: YAML or JSON file with the settings below, by their names.
+            settings: YAML or JSON file with the settings below, under the same names.
             name: name of this process, unique in the system.
-            zone: zone that it runs in.
-            host: IP number to be reached by.
-            listen_host: IP number to listen on; default: host.
+            zone: zone in which this process runs.
+            host: IP address at which other processes reach this one.
+            listen_host: IP address to listen on; default: host.
             control_port: TCP port of the internal protocol.
             http_port: TCP port of administration, metrics and health.
             platform_url: base URL of the platform's services.
             controllers: some controllers to join, as IP:PORT,IP:PORT of the internal protocol.
             group_id: control group; default 0.
             log_level: DEBUG, INFO, WARNING or ERROR; default INFO.
-            seed: seed of the random numbers; default: from the operating system.
+            seed: seed of the random number generator; default: from the operating system.
         """
         from indigoworks.cli.controller_command import run_controller
 
@@ -85,21 +85,21 @@
         log_level: str | None = None,
         seed: str | None = None,
     ) -> PendingCommand:
-        """Run a router until SIGTERM or SIGINT. A flag wins over the settings file.
+        """Run a router until SIGTERM or SIGINT. Flags override the settings file.
 
         Args:
-            settings: YAML or JSON file with the settings below, by their names.
+            settings: YAML or JSON file with the settings below, under the same names.
             name: name of this process, unique in the system.
-            zone: zone that it runs in.
-            host: IP number to be reached by.
-            listen_host: IP number to listen on; default: host.
+            zone: zone in which this process runs.
+            host: IP address at which other processes reach this one.
+            listen_host: IP address to listen on; default: host.
             control_port: TCP port of the internal protocol.
             http_port: TCP port of callers, administration, metrics and health.
             platform_url: base URL of the platform's services.
             controllers: some controllers to follow, as IP:PORT,IP:PORT of the internal protocol.
             group_id: control group; default 0.
             log_level: DEBUG, INFO, WARNING or ERROR; default INFO.
-            seed: seed of the random numbers; default: from the operating system.
+            seed: seed of the random number generator; default: from the operating system.
         """
         from indigoworks.cli.router_command import run_router
 
@@ -136,10 +136,10 @@
             node: http://IP:PORT of any router or controller, or of a gateway's metrics;
                 default: INDIGOWORKS_NODE.
         """
-        fault = first_fault(optional_text("SERVICE", service), optional_text("--key", key))
-        if fault is not None:
-            return refuse(fault)
-        return ask_node(node, lambda client: read_owners(client, service, key))
+        error = first_error(optional_text("SERVICE", service), optional_text("--key", key))
+        if error is not None:
+            return refuse(error)
+        return query_node(node, lambda client: read_owners(client, service, key))
 
     def status(self, *, node: str | None = None) -> PendingCommand:
         """Print leader, members, back ends and routers.
@@ -148,7 +148,7 @@
             node: http://IP:PORT of any router or controller, or of a gateway's metrics;
                 default: INDIGOWORKS_NODE.
         """
-        return ask_node(node, read_status)
+        return query_node(node, read_status)
 
     def explain(
         self,
@@ -158,7 +158,7 @@
         group: str | None = None,
         node: str | None = None,
     ) -> PendingCommand:
-        """Print where a key lies, who owns it, and which level sets each of its settings.
+        """Print position and owner of a key, and the level that sets each of its settings.
 
         Args:
             service: name of the service.
@@ -166,21 +166,21 @@
             group: group of the caller; default: the group `default`.
             node: http://IP:PORT of any router or controller; default: INDIGOWORKS_NODE.
         """
-        fault = first_fault(
+        error = first_error(
             required_text("SERVICE", service),
             required_text("KEY", key),
             optional_text("--group", group),
         )
-        if fault is not None:
-            return refuse(fault)
-        return ask_node(node, lambda client: explain_key(client, service, key, group))
+        if error is not None:
+            return refuse(error)
+        return query_node(node, lambda client: explain_key(client, service, key, group))
 
     def story(self, request_id: str, *, log: str) -> PendingCommand:
         """Print what happened to a request, from the log lines of the gateways.
 
         Args:
-            request_id: id of the request, as its caller sent it.
-            log: file that holds the lines of one or several gateways, in any order.
+            request_id: id of the request, as sent by its caller.
+            log: file with log lines of one or several gateways, in any order.
         """
         from indigoworks.cli.story_command import report_story
 
@@ -190,7 +190,7 @@
         """Print which requests were refused, lost or late, and why, from the gateways' log lines.
 
         Args:
-            log: file that holds the lines of one or several gateways, in any order.
+            log: file with log lines of one or several gateways, in any order.
             window_s: length of the windows of the second table, in whole seconds; default: 2.
         """
         from indigoworks.cli.losses_command import report_losses
@@ -198,12 +198,12 @@
         return PendingCommand(lambda: report_losses(log, window_s))
 
     def owners_story(self, service: str, key: str, *, log: str) -> PendingCommand:
-        """Print how the owner of a key changed, and what speaks against each change.
+        """Print how the owner of a key changed, with reasons to doubt each change.
 
         Args:
             service: name of the service.
-            key: number of the key, as the lines on requests name it.
-            log: file that holds the lines of one or several gateways, in any order.
+            key: number of the key, as logged for requests.
+            log: file with log lines of one or several gateways, in any order.
         """
         from indigoworks.cli.owners_story_command import report_owners_story
 
--- a/indigoworks/cli/errors.py
+++ b/indigoworks/cli/errors.py
@@ -11,7 +11,7 @@
 class CommandError(IndigoworksError):
     """Base of the errors of a command.
 
-    :cvar exit_code: code that the process ends with.
+    :cvar exit_code: exit code of the process.
     """
 
     kind: ClassVar[str] = "command"
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True)
 class Refused(CommandError):
-    """The system, or a check, refused what was asked.
+    """The system, or a check of the command, refused the request.
 
-    :ivar reason: kind of the error behind it.
+    :ivar reason: kind of the underlying error.
     """
 
     reason: str = ""
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class NodeUnreachable(CommandError):
-    """The node could not be asked: nothing took effect."""
+    """The node could not be reached: nothing took effect."""
 
     kind: ClassVar[str] = "node_unreachable"
 
 
 @dataclass(frozen=True)
 class NodeAnswerLost(CommandError):
-    """The node did not answer: a change may have taken effect."""
+    """The node did not respond: a change may have taken effect."""
 
     kind: ClassVar[str] = "node_answer_lost"
 
@@ -61,18 +61,18 @@
 
 @dataclass(frozen=True)
 class ProcessFailed(CommandError):
-    """A task that the process needs has ended; the process ends as well."""
+    """A task that the process needs has ended; the process exits."""
 
     kind: ClassVar[str] = "process_failed"
 
 
 def as_command_error(error: IndigoworksError) -> CommandError:
-    """Return `error` as it leaves the command line; errors of other parts count as refusals."""
+    """Return `error` as a CommandError; errors of other packages become Refused."""
     if isinstance(error, CommandError):
         return error
     return Refused(error.message, error.remedy, error.retry_after_s, reason=error.kind)
 
 
 def as_misuse(error: IndigoworksError) -> Misuse:
-    """Return `error` as a fault of the command line itself."""
+    """Return `error` as a misuse of the command line."""
     return Misuse(error.message, error.remedy)
--- a/indigoworks/cli/exit_code.py
+++ b/indigoworks/cli/exit_code.py
@@ -4,11 +4,11 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended.
+    """Exit code of a command.
 
-    :cvar DONE: it was done.
-    :cvar REFUSED: the command line is right, and the system or a check refused it.
-    :cvar MISUSE: the command line is wrong.
+    :cvar DONE: the command succeeded.
+    :cvar REFUSED: the command line is valid, but the system or a check refused it.
+    :cvar MISUSE: the command line is invalid.
     """
 
     DONE = 0
--- a/indigoworks/cli/http_endpoint.py
+++ b/indigoworks/cli/http_endpoint.py
@@ -1,18 +1,18 @@
-"""The HTTP server of a process, as the process runs it."""
+"""Interface of the HTTP server of a process."""
 
 from typing import Protocol
 
 
 class HttpEndpoint(Protocol):
-    """The HTTP server in front of a part."""
+    """The HTTP server in front of a component."""
 
     def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         :raises OSError: the address cannot be bound.
         """
         ...
 
     async def stop(self) -> None:
-        """Stop the part, finish the answers in progress, and close."""
+        """Stop the component, finish the responses in progress, and close."""
         ...
--- a/indigoworks/cli/log_file.py
+++ b/indigoworks/cli/log_file.py
@@ -1,4 +1,4 @@
-"""Reading a file of log lines that a command names."""
+"""Reading of the log file given to a command."""
 
 from result import Err, Ok, Result
 
@@ -8,9 +8,9 @@
 
 
 def read_log_file(path: str) -> Result[list[LogLine], IndigoworksError]:
-    """Return the structured lines of a file; others in it are passed over.
+    """Return the structured lines of a file; other lines are skipped.
 
-    :param path: file that holds the lines of one or several gateways, in any order.
+    :param path: file with log lines of one or several gateways, in any order.
     """
     try:
         with open(path, encoding="utf-8", errors="replace") as file:
@@ -19,6 +19,6 @@
         return Err(
             Misuse(
                 f"The log {path} cannot be read: {error.strerror or error}.",
-                "Give the path of a file that holds the gateways' standard output.",
+                "Give the path of a file with the gateways' standard output.",
             )
         )
--- a/indigoworks/cli/losses_command.py
+++ b/indigoworks/cli/losses_command.py
@@ -10,14 +10,14 @@
 from indigoworks.request_losses.loss_table import LossTable
 
 DEFAULT_WINDOW_S = 2
-"""Short enough to tell a loss of a leader from the seconds around it."""
+"""Short enough to separate the loss of a leader from the seconds before and after it."""
 
 
 def report_losses(log: str, window_s: object) -> Result[Report, IndigoworksError]:
     """Return the table of refused, lost and late requests from a file of log lines.
 
-    :param log: path of a file that holds the lines of one or several gateways, in any order.
-    :param window_s: length of the windows of time, in whole seconds; None: DEFAULT_WINDOW_S.
+    :param log: path of a file with log lines of one or several gateways, in any order.
+    :param window_s: length of the time windows, in whole seconds; None: DEFAULT_WINDOW_S.
     """
     given_s = optional_number("--window-s", window_s)
     if isinstance(given_s, Err):
--- a/indigoworks/cli/main.py
+++ b/indigoworks/cli/main.py
@@ -23,7 +23,7 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command line and return its exit code.
 
-    :param arguments: the command line without the program's name; None: that of the process.
+    :param arguments: the command line without the program's name; None: `sys.argv`.
     """
     given = list(sys.argv[1:] if arguments is None else arguments)
     outcome = _run(given)
@@ -38,7 +38,7 @@
     try:
         print(report, flush=True)
     except BrokenPipeError:
-        # The reader (such as `head`) has seen enough; the flush at exit must not fail again.
+        # The reader (such as `head`) closed the pipe; the flush at exit must not fail again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
 
@@ -47,28 +47,28 @@
     path = command_path(root, arguments)
     if wants_help(arguments):
         return Ok(_help(root, path))
-    read = _read(root, path, arguments)
-    if isinstance(read, Err):
-        return read
-    return run_pending(read.unwrap())
+    pending = _parse(root, path, arguments)
+    if isinstance(pending, Err):
+        return pending
+    return run_pending(pending.unwrap())
 
 
-def _read(
+def _parse(
     root: Commands, path: list[str], arguments: list[str]
 ) -> Result[PendingCommand, IndigoworksError]:
-    """Let fire read the command line; it prints nothing, and starts no pager, on a buffer."""
+    """Parse the command line with fire, whose output goes to a buffer so that no pager starts."""
     remedy = f"Run `{' '.join([PROGRAM, *path, '--help'])}`."
     if "--" in arguments:
-        return Err(Misuse("A lone -- is no argument of a command.", remedy))
+        return Err(Misuse("A lone -- is not an argument of any command.", remedy))
     with redirect_stdout(io.StringIO()), redirect_stderr(io.StringIO()):
         try:
-            read = fire.Fire(root, as_texts(arguments), PROGRAM)
+            command = fire.Fire(root, as_texts(arguments), PROGRAM)
         except FireExit as exit_:
-            fault = exit_.trace.elements[-1].ErrorAsStr()
-            return Err(Misuse(f"The command line is wrong: {fault}.", remedy))
-    if isinstance(read, PendingCommand):
-        return Ok(read)
-    return Err(Misuse(f"`{' '.join([PROGRAM, *path])}` is no whole command.", remedy))
+            message = exit_.trace.elements[-1].ErrorAsStr()
+            return Err(Misuse(f"The command line is wrong: {message}.", remedy))
+    if isinstance(command, PendingCommand):
+        return Ok(command)
+    return Err(Misuse(f"`{' '.join([PROGRAM, *path])}` is not a complete command.", remedy))
 
 
 def _help(root: Commands, path: list[str]) -> str:
--- a/indigoworks/cli/node_address.py
+++ b/indigoworks/cli/node_address.py
@@ -1,4 +1,4 @@
-"""The node that an operator's command asks."""
+"""Address of the node that an operator's command queries."""
 
 import os
 import re
@@ -14,17 +14,17 @@
 def node_url(flag: object) -> Result[str, Misuse]:
     """Return the base URL of the node, from the flag or the environment.
 
-    :param flag: value of --node; None: not given.
+    :param flag: value of --node; None if not given.
     """
     given = os.environ.get(NODE_VARIABLE) if flag is None else flag
     if not given:
         return Err(
-            Misuse("No node is named.", f"Give --node http://IP:PORT or set {NODE_VARIABLE}.")
+            Misuse("No node is given.", f"Give --node http://IP:PORT or set {NODE_VARIABLE}.")
         )
     if not isinstance(given, str) or not _NODE.match(given):
         return Err(
             Misuse(
-                f"The node {given!r} is no address.",
+                f"The node {given!r} is not an address.",
                 "Give --node http://IP:PORT of a router or controller.",
             )
         )
--- a/indigoworks/cli/node_command.py
+++ b/indigoworks/cli/node_command.py
@@ -1,4 +1,4 @@
-"""Commands that ask a node."""
+"""Commands that query a node."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,10 @@
 NodeAction = Callable[[AdminClient], Result[Report, IndigoworksError]]
 
 
-def ask_node(node: object, action: NodeAction) -> PendingCommand:
-    """Return a command that runs `action` against the named node.
+def query_node(node: object, action: NodeAction) -> PendingCommand:
+    """Return a command that runs `action` against the given node.
 
-    :param node: value of --node; None: taken from the environment.
+    :param node: value of --node; None: use the environment variable.
     """
 
     def run() -> Result[Report, IndigoworksError]:
--- a/indigoworks/cli/owners_story_command.py
+++ b/indigoworks/cli/owners_story_command.py
@@ -13,7 +13,7 @@
     """Return how the owner of a key changed, from a file of log lines.
 
     :param key: number of the key.
-    :param log: path of a file that holds the lines of one or several gateways, in any order.
+    :param log: path of a file with log lines of one or several gateways, in any order.
     """
     number = optional_number("KEY", key)
     if isinstance(number, Err):
--- a/indigoworks/cli/pending_command.py
+++ b/indigoworks/cli/pending_command.py
@@ -1,4 +1,4 @@
-"""A command that was read and is yet to run."""
+"""A command that is parsed but has not run yet."""
 
 from collections.abc import Callable
 
@@ -7,16 +7,16 @@
 from indigoworks.common.errors import IndigoworksError
 
 Report = str
-"""What a command prints on standard output; empty: nothing."""
+"""Standard output of a command; may be empty."""
 
 Action = Callable[[], Result[Report, IndigoworksError]]
 
 
 class PendingCommand:
-    """An action that fire's functions return instead of acting.
+    """An action that a command function returns to fire instead of running it.
 
-    fire calls a function before it has found out that later arguments are unknown. The action
-    therefore runs only once the whole command line has been read without fault.
+    fire calls a function before it detects unknown arguments after it. The action therefore
+    runs only after the whole command line has been parsed without errors.
     """
 
     __slots__ = ("_action",)
--- a/indigoworks/cli/process_component.py
+++ b/indigoworks/cli/process_component.py
@@ -1,4 +1,4 @@
-"""What a process runs."""
+"""Interface of the component that a process runs."""
 
 from typing import Protocol
 
@@ -7,19 +7,20 @@
     """A controller or a router."""
 
     async def start(self) -> None:
-        """Open the control port and begin.
+        """Open the control port and start.
 
         :raises OSError: the control port cannot be bound.
         """
         ...
 
     async def stop(self) -> None:
-        """Refuse new work, finish what runs, and end."""
+        """Refuse new work, finish work in progress, and stop."""
         ...
 
     async def wait_failed(self) -> str:
-        """Wait until the part can no longer do its work, and return why.
+        """Wait until the component has failed, and return the reason.
 
-        A machine whose process has ended is replaced; one that runs on with a dead task is not.
+        The process then exits: a machine whose process has ended is replaced, one whose process
+        runs on with a failed task is not.
         """
         ...
--- a/indigoworks/cli/process_flags.py
+++ b/indigoworks/cli/process_flags.py
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True)
 class ProcessFlags:
-    """The flags as given.
+    """The flags of the command line, not validated yet.
 
     :ivar settings: path of the settings file, or None.
-    :ivar seed: seed of the random numbers, or None.
-    :ivar fields: flags of the fields of the process settings; None: not given.
+    :ivar seed: seed of the random number generator, or None.
+    :ivar fields: values of the process settings by field name; None: not given.
     """
 
     settings: str | None
@@ -27,7 +27,7 @@
     fields: Mapping[str, object]
 
     def load(self, model: type[ProcessSettingsT]) -> Result[ProcessSettingsT, Misuse]:
-        """Return the settings of the process out of file and flags."""
+        """Return the process settings from the settings file and the flags."""
         path = optional_text("--settings", self.settings)
         if isinstance(path, Err):
             return path
@@ -38,7 +38,7 @@
         return load_process_settings(model, path.unwrap(), self.fields).map_err(as_misuse)
 
     def random(self) -> Result[Random, Misuse]:
-        """Return the source of random numbers."""
+        """Return the random number generator."""
         seed = optional_number("--seed", self.seed)
         if isinstance(seed, Err):
             return seed
--- a/indigoworks/cli/report.py
+++ b/indigoworks/cli/report.py
@@ -1,4 +1,4 @@
-"""What commands print."""
+"""Output of commands."""
 
 import json
 from typing import Any
--- a/indigoworks/cli/run_process.py
+++ b/indigoworks/cli/run_process.py
@@ -1,4 +1,4 @@
-"""Running a part and its HTTP side until a stop signal."""
+"""Runs a component and its HTTP server until a stop signal."""
 
 import asyncio
 
@@ -16,35 +16,35 @@
 
 
 async def run_process(
-    part: ProcessComponent, http: HttpEndpoint, settings: ProcessSettings, stop: StopState
+    component: ProcessComponent, endpoint: HttpEndpoint, settings: ProcessSettings, stop: StopState
 ) -> Result[Report, IndigoworksError]:
-    """Start `part` and `http`, wait for a stop signal, and stop both.
+    """Start `component` and `endpoint`, wait for a stop signal, and stop both.
 
-    The HTTP side outlives the part's stop: requests in progress get their answers, new ones the
-    part's refusal.
+    The HTTP server stops after the component: requests in progress get their responses, and new
+    ones are refused by the component.
     """
     stop.listen()
     try:
-        await part.start()
+        await component.start()
     except OSError as error:
         return Err(_unavailable(settings.control_address, error))
     try:
-        http.start()
+        endpoint.start()
     except OSError as error:
-        await part.stop()
+        await component.stop()
         return Err(_unavailable(settings.http_address, error))
     log_message(message_type="process:serving", address=str(settings.http_address))
-    failure = await _wait_for_stop(part, stop)
+    failure = await _wait_for_stop(component, stop)
     log_message(message_type="process:stopping")
-    await http.stop()
+    await endpoint.stop()
     log_message(message_type="process:stopped")
     return Ok("") if failure is None else Err(_failed(failure))
 
 
-async def _wait_for_stop(part: ProcessComponent, stop: StopState) -> str | None:
-    """Wait for a stop signal (None) or for the part's failure (why)."""
+async def _wait_for_stop(component: ProcessComponent, stop: StopState) -> str | None:
+    """Wait for a stop signal or a failure; return the failure's reason, or None."""
     stopping = asyncio.ensure_future(stop.wait())
-    failing = asyncio.ensure_future(part.wait_failed())
+    failing = asyncio.ensure_future(component.wait_failed())
     await asyncio.wait({stopping, failing}, return_when=asyncio.FIRST_COMPLETED)
     stopping.cancel()
     if not failing.done():
@@ -56,7 +56,7 @@
 
 def _failed(reason: str) -> ProcessFailed:
     return ProcessFailed(
-        f"The process cannot go on: {reason}.",
+        f"The process cannot continue: {reason}.",
         "Start it again; report the log's last lines if it happens twice.",
     )
 
--- a/indigoworks/cli/run_with_settings.py
+++ b/indigoworks/cli/run_with_settings.py
@@ -1,4 +1,4 @@
-"""Running a process under the settings that its flags name."""
+"""Runs a process with the settings from its flags."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 from indigoworks.settings.load_process_settings import ProcessSettingsT
 
 Serve = Callable[[ProcessSettingsT, Random], Awaitable[Result[Report, IndigoworksError]]]
-"""Runs a process under the given settings, with the given random numbers, until it ends."""
+"""Runs a process with the given settings and random number generator until it ends."""
 
 
 def run_with_settings(
--- a/indigoworks/cli/settings_actions.py
+++ b/indigoworks/cli/settings_actions.py
@@ -1,4 +1,4 @@
-"""What the commands of `indigoworks settings` do."""
+"""Actions of the commands `indigoworks settings ...`."""
 
 from random import Random
 from typing import Any
@@ -21,7 +21,7 @@
 CHANGE_ID_BITS = 64
 READ_BACK_ATTEMPTS = 3
 READ_BACK_INTERVAL_S = 1.0
-"""Time for a change that stands in the table to come into the log."""
+"""Time for a change in the table to reach the log."""
 
 
 def new_change_id(random: Random) -> str:
@@ -30,7 +30,7 @@
 
 
 def read_tree(path: str) -> Result[SettingsTree, IndigoworksError]:
-    """Return the checked tree in the file at `path`."""
+    """Return the validated tree from the file at `path`."""
     content = read_file(path)
     if isinstance(content, Err):
         return Err(as_misuse(content.unwrap_err()))
@@ -38,7 +38,7 @@
 
 
 def validate_file(path: str) -> Result[Report, IndigoworksError]:
-    """Check a tree without asking the system."""
+    """Validate a tree locally."""
     return read_tree(path).map(lambda tree: json_report(_summary(path, tree)))
 
 
@@ -63,9 +63,9 @@
 def apply_file(
     client: AdminClient, path: str, expected_version: int | None, change_id: str
 ) -> Result[Report, IndigoworksError]:
-    """Check a tree here, then ask the system to put it in force.
+    """Validate a tree locally, then request that the system put it in force.
 
-    :param expected_version: version the file was made from; None: the version in force now.
+    :param expected_version: version that the file is based on; None: the version in force now.
     """
     tree = read_tree(path)
     if isinstance(tree, Err):
@@ -93,7 +93,7 @@
 def _read_back(
     client: AdminClient, path: str, version: int, change_id: str
 ) -> Result[Report, IndigoworksError]:
-    """Resolve a lost answer: an accepted change has progress, whoever lost the answer."""
+    """Query the progress after a lost response: only an accepted change has one."""
     for _ in range(READ_BACK_ATTEMPTS):
         progress = _progress(client, change_id)
         if isinstance(progress, Ok):
@@ -101,8 +101,8 @@
         client.pause(READ_BACK_INTERVAL_S)
     return Err(
         NodeAnswerLost(
-            f"The answer to change {change_id} is lost: it may have taken effect.",
-            f"Run `indigoworks settings progress {change_id}`, or repeat it, which runs it at most "
+            f"The response to change {change_id} is lost: the change may have taken effect.",
+            f"Run `indigoworks settings progress {change_id}`, or retry it; it is applied at most "
             f"once: `indigoworks settings apply {path} --change-id {change_id} "
             f"--expected-version {version}`.",
         )
--- a/indigoworks/cli/stop_state.py
+++ b/indigoworks/cli/stop_state.py
@@ -7,26 +7,26 @@
 
 
 class StopState:
-    """Becomes stopping at the first stop signal, and stays so."""
+    """Records the first stop signal; a stop request is never withdrawn."""
 
     def __init__(self) -> None:
-        self._asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     @property
     def is_stopping(self) -> bool:
-        """Tell whether the process has been asked to stop."""
-        return self._asked.is_set()
+        """Return whether the process has been asked to stop."""
+        return self._stop_requested.is_set()
 
     def listen(self) -> None:
-        """Take the stop signals of this process; needs its running event loop."""
+        """Install handlers for the stop signals; needs a running event loop."""
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self.ask)
+            loop.add_signal_handler(number, self.request_stop)
 
-    def ask(self) -> None:
-        """Ask the process to stop."""
-        self._asked.set()
+    def request_stop(self) -> None:
+        """Request that the process stop."""
+        self._stop_requested.set()
 
     async def wait(self) -> None:
         """Wait until the process has been asked to stop."""
-        await self._asked.wait()
+        await self._stop_requested.wait()
--- a/indigoworks/cli/story_command.py
+++ b/indigoworks/cli/story_command.py
@@ -9,8 +9,8 @@
 
 
 def report_story(request_id: str, log: str) -> Result[Report, IndigoworksError]:
-    """Return the story of a request from a file of log lines.
+    """Return the log lines that concern a request, from a file of log lines.
 
-    :param log: path of a file that holds the lines of one or several gateways, in any order.
+    :param log: path of a file with log lines of one or several gateways, in any order.
     """
     return read_log_file(log).map(lambda lines: render(RequestStory(request_id, lines).lines()))
