--- a/indigoworks/owners_story/line_doubts.py
+++ b/indigoworks/owners_story/line_doubts.py
@@ -1,4 +1,4 @@
-"""Finds what speaks against a passing of keys in one line of a log."""
+"""Checks one log line for reasons to doubt an ownership transfer."""
 
 from collections.abc import Iterator, Sequence
 
@@ -7,23 +7,23 @@
 from indigoworks.ownership.leader_lease import LEADER_LEASE_S
 from indigoworks.request_story.log_line import LogLine
 
-PASSED = "range:passed"
+RANGE_PASSED = "range:passed"
 
 BOUND_PROOFS = ("own_bound", "predecessor_bound", "no_bound")
 
 
 def doubts_of(line: LogLine) -> Sequence[OwnershipDoubt]:
-    """Return what speaks against a line; nothing for one that tells of no passing or order."""
-    if line.message_type == PASSED:
-        return [*_of_bounds(line), *_of_passing(line), *_of_leader(line)]
+    """Return the doubts about a line; none for one without an ownership transfer or order."""
+    if line.message_type == RANGE_PASSED:
+        return [*_bound_doubts(line), *_transfer_doubts(line), *_leader_doubts(line)]
     if line.message_type == "order:old_proof":
-        return list(_of_leader(line))
+        return list(_leader_doubts(line))
     if line.message_type == "server:replaced" and not line.fields.get("by"):
-        return [OwnershipDoubt(OwnershipDoubtKind.UNNAMED_SERVER, "nobody is named at the address")]
+        return [OwnershipDoubt(OwnershipDoubtKind.UNNAMED_SERVER, "no replacing server is named")]
     return ()
 
 
-def _of_bounds(line: LogLine) -> Iterator[OwnershipDoubt]:
+def _bound_doubts(line: LogLine) -> Iterator[OwnershipDoubt]:
     proof = line.fields.get("proof")
     if proof not in BOUND_PROOFS:
         return
@@ -35,18 +35,19 @@
             )
 
 
-def _of_passing(line: LogLine) -> Iterator[OwnershipDoubt]:
+def _transfer_doubts(line: LogLine) -> Iterator[OwnershipDoubt]:
     if line.fields.get("proof") == "none":
         yield OwnershipDoubt(OwnershipDoubtKind.NO_PROOF, "the former owner was not ruled out")
     unanswered = _number(line, "unanswered")
     if unanswered:
         oldest_s = line.fields.get("oldest_unanswered_s")
         yield OwnershipDoubt(
-            OwnershipDoubtKind.ORDER_UNANSWERED, f"{unanswered:g}, the oldest {oldest_s} s ago"
+            OwnershipDoubtKind.ORDER_UNANSWERED,
+            f"{unanswered:g} unanswered, the oldest {oldest_s} s ago",
         )
 
 
-def _of_leader(line: LogLine) -> Iterator[OwnershipDoubt]:
+def _leader_doubts(line: LogLine) -> Iterator[OwnershipDoubt]:
     age_s, state = _number(line, "proof_age_s"), line.fields.get("proof_state")
     if age_s is None or age_s > LEADER_LEASE_S or state != "leads":
         yield OwnershipDoubt(OwnershipDoubtKind.OLD_PROOF, f"proof of {age_s} s, state {state}")
--- a/indigoworks/owners_story/ownership_doubt.py
+++ b/indigoworks/owners_story/ownership_doubt.py
@@ -1,4 +1,4 @@
-"""One reason to doubt a line on owners."""
+"""A reason to doubt an ownership transfer that a log line records."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipDoubt:
-    """A kind of doubt, and the figures that it rests on."""
+    """A kind of doubt, and the values in the line that cause it."""
 
     kind: OwnershipDoubtKind
     detail: str
--- a/indigoworks/owners_story/ownership_doubt_kind.py
+++ b/indigoworks/owners_story/ownership_doubt_kind.py
@@ -1,18 +1,18 @@
-"""What speaks against a passing of keys."""
+"""Kinds of doubt about an ownership transfer."""
 
 from enum import Enum
 
 
 class OwnershipDoubtKind(Enum):
-    """Reasons to doubt that nobody else held the keys."""
+    """Reasons why another server may still have held the keys."""
 
     BOUND_RUNS = "bound_runs"
-    """A bound has ended, and another one on the same hold has not."""
+    """One bound on the former hold has expired, but another one has not."""
     ORDER_UNANSWERED = "order_unanswered"
-    """The former owner left grants of the keys unanswered and may take them late."""
+    """The former owner has not answered grants of the keys and may apply them late."""
     OLD_PROOF = "old_proof"
-    """Whoever gave the order might not act as leader any more."""
+    """The gateway that sent the order may no longer have been the leader."""
     UNNAMED_SERVER = "unnamed_server"
-    """A server counts as gone by an answer that does not say who gave it."""
+    """A server counts as replaced, but the line names no replacing server."""
     NO_PROOF = "no_proof"
-    """Nobody asked whether the former owner still held the keys."""
+    """The former owner was not ruled out before the transfer."""
--- a/indigoworks/request_losses/loss_table.py
+++ b/indigoworks/request_losses/loss_table.py
@@ -1,4 +1,7 @@
-"""Losses of requests by service, cause and time."""
+"""Table of lost requests by service, cause and time.
+
+A lost request was refused or cancelled, or its response was lost, late or a server error.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,16 +10,16 @@
 from indigoworks.request_story.log_line import LogLine
 
 DROPPED_LINES = "log:dropped"
-"""Line in which a gateway tells how many lines of each type it had no room for."""
+"""Type of the line in which a gateway reports how many lines of each type it dropped."""
 
 TOP_CAUSES = 3
-"""Causes that are named for each window of time."""
+"""Number of causes printed for each time window."""
 
 
 class LossTable:
-    """Counts what log lines tell of requests that were not answered in time.
+    """Counts the lost requests that log lines record.
 
-    :param window_s: length of the windows in which times are counted, in seconds.
+    :param window_s: length of the time windows, in seconds.
     """
 
     def __init__(self, lines: Iterable[LogLine], window_s: float) -> None:
@@ -48,7 +51,7 @@
             self._dropped.update({str(name): int(count) for name, count in types.items()})
 
     def render(self) -> str:
-        """Return the table as text: by service and cause, then by window of time."""
+        """Return the table as text: by service and cause, then by time window."""
         if not self._by_service:
             return "No line tells of a request that was refused, lost or late.\n"
         return "".join([*self._service_rows(), "\n", *self._window_rows(), *self._dropped_rows()])
@@ -60,7 +63,7 @@
                 yield f"{service:<24} {cause:<32} {count:>8}\n"
 
     def _window_rows(self) -> Iterable[str]:
-        yield f"{'from second':>11} {'requests':>8}  most for\n"
+        yield f"{'from second':>11} {'requests':>8}  top causes\n"
         for window, causes in sorted(self._by_window.items()):
             top = ", ".join(f"{cause} {count}" for cause, count in causes.most_common(TOP_CAUSES))
             yield f"{window * self._window_s:>11.1f} {causes.total():>8}  {top}\n"
@@ -68,4 +71,4 @@
     def _dropped_rows(self) -> Iterable[str]:
         if self._dropped:
             counts = ", ".join(f"{name} {count}" for name, count in self._dropped.most_common())
-            yield f"\nLines that gateways had no room for, and which are not counted: {counts}\n"
+            yield f"\nLines that gateways dropped, and which are not counted: {counts}\n"
--- a/indigoworks/request_story/log_line.py
+++ b/indigoworks/request_story/log_line.py
@@ -1,4 +1,4 @@
-"""One structured line of a log."""
+"""Structured log lines."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line as a gateway wrote it.
+    """A log line written by a gateway.
 
-    :ivar at_s: time of day of its process, in seconds.
-    :ivar fields: all further fields.
+    :ivar at_s: timestamp from the clock of its process, in seconds.
+    :ivar fields: all other fields.
     """
 
     at_s: float
@@ -20,7 +20,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "LogLine | None":
-        """Read a line; what a collector put before the JSON object is passed over."""
+        """Parse a line or return None; a log collector's text before the JSON object is skipped."""
         start = text.find("{")
         if start < 0:
             return None
@@ -37,7 +37,7 @@
 
 
 def read_log_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Return the structured lines among `texts`."""
+    """Yield the structured lines among `texts`."""
     for text in texts:
         line = LogLine.parse(text)
         if line is not None:
