--- a/features/steps/gateway_control_world.py
+++ b/features/steps/gateway_control_world.py
@@ -98,7 +98,7 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    def hear(self, listener):
+    def add_notice_listener(self, listener):
         self.listener = listener
 
     async def grant(self, server, grant, timeout_s, may_send):
