--- a/indigoworks/ownership/challenge_delay.py
+++ b/indigoworks/ownership/challenge_delay.py
@@ -70,7 +70,10 @@
         return sum(1 for node in heard if strength_rank(capacities.get(node, 0.0), node) < own)
 
     def _is_weak(self) -> bool:
-        """Return whether this machine has no spare capacity and may not be the strongest."""
+        """Return whether this machine has no spare capacity while another has some.
+
+        Also if no other machine is known yet: one may have some.
+        """
         others = list(self._directory.others())
         return self._capacity <= 0 and (not others or any(each.capacity > 0 for each in others))
 
--- a/indigoworks/ownership/former_owners.py
+++ b/indigoworks/ownership/former_owners.py
@@ -136,10 +136,10 @@
         return refused_s + self._longest_s()
 
     def _unknown_until(self, server_id: str) -> float:
-        """Return until when a server with no known address may hold keys.
+        """Return until when a server may hold keys if no record of it, and so no address, is known.
 
-        Its bound was recorded when the table was recovered, or is that of grants by a leader from
-        which nothing was heard.
+        Minus infinity if a bound of its holds is recorded. Otherwise a leader from which nothing
+        was heard may have granted it keys until now, for the longest hold.
         """
         if self._bounds.own_until_s(server_id, *self._keys()) > float("-inf"):
             return float("-inf")
@@ -174,8 +174,8 @@
             return TransferProof.RELEASED
         self._released.add(server_id)
         self.late_grant_server_id = server_id
-        # The range moves back. A release is then enough for its current owner; without this the
-        # two servers would be fenced in turn for ever.
+        # The range moves back to this server. A release is then enough for its current owner;
+        # without this the two servers would have to be fenced in turn for ever.
         self._bounds.clear_unfenced(self._owned.server_id, *self._keys())
         return None
 
--- a/indigoworks/ownership/hold_bounds.py
+++ b/indigoworks/ownership/hold_bounds.py
@@ -56,7 +56,13 @@
 
     A grant is recorded before it is sent, with the bound that applies if it is never answered. An
     unanswered grant may be applied until the server has answered a grant under a higher token on
-    the same keys: from then on it refuses the earlier one.
+    the same keys: from then on it refuses the earlier one, and is fenced from it. A server is
+    unfenced on keys while only such an answer, and not a release, rules out earlier leaders' grants
+    that it may apply late.
+
+    "Own" bounds are those of all recorded holds: by grants of this process in this epoch and
+    earlier ones, and the possible holds of `add_possible_hold`. Grants of earlier leaders have one
+    bound in common, that of the predecessor.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -133,11 +139,11 @@
         self._inherited.add(server_id, first, last)
 
     def mark_unfenced(self, server_id: str, first: int, last: int) -> None:
-        """Record that a release is not enough: earlier grants need one under a new token."""
+        """Record that a server is unfenced: a release does not rule it out, a new grant does."""
         self._unfenced.add(server_id, first, last)
 
     def clear_unfenced(self, server_id: str, first: int, last: int) -> None:
-        """Record that a release of the keys is enough from now on."""
+        """Record that a release of the keys rules a server out from now on."""
         self._unfenced.remove(server_id, first, last)
 
     def is_unfenced(self, server_id: str, first: int, last: int) -> bool:
@@ -160,7 +166,7 @@
         return max(self._predecessor_s, self.own_until_s(server_id, first, last))
 
     def own_until_s(self, server_id: str, first: int, last: int) -> float:
-        """Return the bound of this leader's own grants; minus infinity: there were none."""
+        """Return the own bound of a server; minus infinity: no hold is recorded."""
         bounds_s = [
             until_s
             for known in (self._settled_s, self._in_flight_s, self._unanswered_s)
@@ -175,9 +181,9 @@
         return self._predecessor_s
 
     def last_grant(self, server_id: str, first: int, last: int) -> tuple[float, int | None]:
-        """Return the latest end of this process's own grants, and their highest token, for the log.
+        """Return the latest end of recorded holds, and their highest token, for the log.
 
-        Includes grants that ended recently, and those of earlier epochs.
+        Includes holds that ended in the last EXPIRED_HOLD_RETENTION_S.
         """
         holds = [
             (until_s, hold.token)
@@ -189,7 +195,7 @@
         return until_s, max((token for _, token in holds), default=None)
 
     def longest_left_s(self) -> float:
-        """Return how long the longest of this leader's holds may still last.
+        """Return how long the longest of the recorded holds may still last.
 
         Grants just sent are not included: each would count as unanswered, with a long bound.
         """
--- a/indigoworks/ownership/keeper_set.py
+++ b/indigoworks/ownership/keeper_set.py
@@ -48,7 +48,7 @@
             keeper.resume()
 
     def stop_all(self) -> None:
-        """Stop all keepers, and remember which ranges their owners hold."""
+        """Stop all keepers, and remember which ranges counted as granted."""
         self._granted_at_stop = {
             service: frozenset(self.granted(service)) for service in self._keepers
         }
@@ -58,11 +58,11 @@
         self._keepers = {}
 
     def granted(self, service: str) -> list[OwnedRange]:
-        """Return the ranges that their owners hold."""
+        """Return the ranges that count as granted; see RangeKeeper.is_granted."""
         return [each.owned for each in self._keepers_of(service) if each.is_granted]
 
     def granted_at_stop(self, service: str) -> frozenset[OwnedRange]:
-        """Return the ranges that their owners held when `stop_all` was last called."""
+        """Return the ranges that counted as granted when `stop_all` was last called."""
         return self._granted_at_stop.get(service, frozenset())
 
     async def confirm(self, service: str, owned: OwnedRange) -> OrderResult | None:
@@ -74,7 +74,7 @@
         await self._make_keeper(service, owned).release_from(server_id)
 
     def granted_count(self) -> int:
-        """Return the number of ranges, over all services, that their owners hold."""
+        """Return the number of ranges, over all services, that count as granted."""
         return sum(len(self.granted(service)) for service in self._keepers)
 
     def needing_token(self, service: str) -> list[OwnedRange]:
@@ -105,7 +105,8 @@
     def _is_covered(self, keepers: Iterable[RangeKeeper], owned: OwnedRange) -> bool:
         """Return whether all keys are already granted to the same owner.
 
-        It holds them under the same token, or under one that is replaced only to fence it.
+        It holds them under the same token, or under an earlier one that is replaced only to rule
+        out an unanswered grant.
         """
         covered = sum(
             min(each.owned.last, owned.last) - max(each.owned.first, owned.first) + 1
--- a/indigoworks/ownership/key_release.py
+++ b/indigoworks/ownership/key_release.py
@@ -5,7 +5,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRelease:
-    """Stops new work on keys `first` to `last`; later grants under tokens below `token` fail."""
+    """Makes a server give up keys `first` to `last`: it starts no new work on them.
+
+    A server may also refuse later grants under tokens below `token`, but need not: it may not
+    remember the token of a release. See HoldBounds.record_released.
+    """
 
     first: int
     last: int
--- a/indigoworks/ownership/leader_liveness.py
+++ b/indigoworks/ownership/leader_liveness.py
@@ -7,7 +7,7 @@
 from indigoworks.exchange.peer_view import PeerView
 
 LATE_REPORT_S = 1.2
-"""Longest time from the sending of a report to its arrival through hubs."""
+"""Longest time from the sending of a report to its arrival through hubs, which pass it on."""
 
 _ProcessId = tuple[str, str]
 """Node and boot of a process: one run of a node."""
--- a/indigoworks/ownership/leader_state.py
+++ b/indigoworks/ownership/leader_state.py
@@ -11,7 +11,7 @@
     UNPROVED = "unproved"
     """The newest known row names it, and it has no proof."""
     RESIGNED = "resigned"
-    """It gave up the leadership; any proof that it has arrived later."""
+    """It has resigned, whether it led or not; a proof of leadership may have arrived after that."""
     LOST = "lost"
     """It has acted as leader, and the newest known row does not name it."""
     NEVER_LED = "never_led"
--- a/indigoworks/ownership/load_balancer.py
+++ b/indigoworks/ownership/load_balancer.py
@@ -31,7 +31,7 @@
 """Below this share of its slots a server is never overloaded by a single key."""
 
 HIGH_UTILISATION = 0.75
-"""From this share on a server is relieved at once."""
+"""Below this share of its slots a server does not count as overloaded."""
 
 DRAIN_PARTS = 3
 """Parts into which the busiest range of a drained server is split, so that its load spreads."""
@@ -40,14 +40,14 @@
 """A drained server with this many ranges gives them away whole. Otherwise each round in which all
 servers are replaced would multiply the ranges, and each range is renewed separately."""
 
-MAX_MOVES = 8
+MAX_OVERLOAD_MOVES = 8
 """Overload moves decided at once: a range that became hot may need several servers at once."""
 
 MAX_REBALANCE_MOVES = 4
 SERVERS_PER_REBALANCE_MOVE = 6
 """Rebalancing moves decided at once: at most MAX_REBALANCE_MOVES, or one for every
-SERVERS_PER_REBALANCE_MOVE servers if that is more. Two thirds of 62 servers may be slow ones with
-as many keys as the others: with four moves in 1.5 s their requests would wait for 15 s."""
+SERVERS_PER_REBALANCE_MOVE servers if that is more. In a large group four in 1.5 s are too few: if
+two thirds of 62 servers are slow and own as many keys as the others, requests wait for 15 s."""
 
 HOT_KEY_UTILISATION = 0.7
 """A single key is hot when it uses this share of its server's slots: it cannot be split."""
@@ -75,7 +75,7 @@
 than it is."""
 
 MIN_ROOM = 0.1
-"""A server gets a part of a hot range only if this share of its slots is free below its limit."""
+"""Share of its slots by which a target of overload moves is below `level`, if any server is."""
 
 
 class LoadBalancer:
@@ -129,7 +129,7 @@
             return [hot]
         relieved: set[str] = set()
         level = max(sum(load.values()) / len(load), MAX_TARGET_LOAD)
-        for _ in range(MAX_MOVES):
+        for _ in range(MAX_OVERLOAD_MOVES):
             mean = sum(load.values()) / len(load)
             busiest = max(load, key=lambda each: load[each])
             target = _pick_target(load, penalty, level)
--- a/indigoworks/ownership/owner_candidates.py
+++ b/indigoworks/ownership/owner_candidates.py
@@ -10,7 +10,7 @@
 from indigoworks.servers.server_source import ServerSource
 
 SpeedOf = Callable[[str], float]
-"""Seconds that a request takes at a server, by its id."""
+"""Returns the seconds that a request takes at a server, by its id: more is slower."""
 
 
 class OwnerCandidates:
@@ -41,8 +41,8 @@
     def capacities(self, service: str, to_drain: dict[str, str]) -> list[ServerCapacity]:
         """Return the servers that may be given keys: none that rest, and cold ones only if all are.
 
-        A cold server is overloaded by little more than half of its usual load. A resting one that
-        refuses all requests has no load and would look idle.
+        A cold server (see ServerSource.is_cold) is overloaded by little more than half of its usual
+        load. A resting one that refuses all requests has no load and would look idle.
         """
         remaining = [
             each
--- a/indigoworks/ownership/range_keeper.py
+++ b/indigoworks/ownership/range_keeper.py
@@ -35,7 +35,8 @@
     Before each order it checks whether this process may still act as leader: a process that was
     paused or cut off sends nothing more.
 
-    :ivar is_granted: the owner has answered a grant of this range.
+    :ivar is_granted: the range counts as granted, from `start`, `renew` or the first answered grant
+        until the owner refuses its token. Unanswered renewals don't change it, nor the hold's end.
     :ivar needs_token: the owner has seen a higher token, so the range needs a new one.
     """
 
@@ -100,7 +101,11 @@
         return RangeMove(first, last, self.owned.server_id, server_id, "answers_again")
 
     def start(self, is_granted: bool) -> None:
-        """Start the task; `is_granted`: the owner already holds the range under its token."""
+        """Start the task.
+
+        :param is_granted: the range counts as granted to its owner already, under its token or an
+            earlier one.
+        """
         self.is_granted = is_granted
         self._is_first_grant = not is_granted
         self.task = asyncio.ensure_future(self._run())
--- a/indigoworks/ownership/range_log.py
+++ b/indigoworks/ownership/range_log.py
@@ -20,7 +20,7 @@
 class _FormerOwnerRecord:
     """Bounds and proof of a former owner when it was ruled out.
 
-    :ivar own_until_s: latest end of the grants of this process to it.
+    :ivar own_until_s: latest end of the holds recorded for it; see HoldBounds.last_grant.
     """
 
     began_s: float
@@ -88,7 +88,7 @@
             TransferProof.PREDECESSOR_BOUND: record.predecessor_until_s,
             TransferProof.OWN_BOUND: record.own_until_s,
         }
-        # A leader may know of its own grants in earlier epochs, which its bounds no longer include.
+        # The own bound here may be that of a hold which HoldBounds has dropped since it ended.
         ended = [each for each in bounds_s if float("-inf") < bounds_s[each] < self._clock.now()]
         return max(ended, key=lambda each: bounds_s[each], default=TransferProof.NO_BOUND)
 
@@ -148,7 +148,10 @@
         )
 
     def _bound_of(self, proof: TransferProof | None) -> tuple[str | None, int | None]:
-        """Return which leader's bound a proof is, and the epoch of that leader, if known."""
+        """Return which leader's bound a proof is, and an epoch; None: the proof is no bound.
+
+        For an own bound this is the current epoch, even if the hold is from before it.
+        """
         if proof is TransferProof.OWN_BOUND:
             return "this_leader", self._leadership.row.epoch
         if proof is TransferProof.PREDECESSOR_BOUND:
--- a/indigoworks/ownership/range_splitter.py
+++ b/indigoworks/ownership/range_splitter.py
@@ -53,7 +53,10 @@
         return split_key
 
     def equal_parts(self, owned: OwnedRange, count: int) -> list[tuple[int, int]]:
-        """Split a range into parts of equal load, or equal width if there are too few samples."""
+        """Split a range into parts with equally many samples, whatever their weights.
+
+        With fewer than two samples for each part, into parts of equal width.
+        """
         count = min(count, owned.width)
         hits = self._window.hits_between(owned.first, owned.last)
         if len(hits) < 2 * count:
--- a/indigoworks/ownership/server_reach.py
+++ b/indigoworks/ownership/server_reach.py
@@ -11,7 +11,7 @@
 from indigoworks.ownership.order_tracker import OrderTracker
 
 LOST_AFTER_S = 0.4
-"""A server loses its ranges when orders have failed to reach it for this long."""
+"""A server loses its ranges when all orders to it have failed for this long."""
 
 LOST_FAILURES = 2
 """And when this many orders in a row have failed."""
@@ -40,7 +40,12 @@
 
 
 class ServerReach:
-    """Tracks for each server, over all of its ranges, the orders that did not reach it.
+    """Tracks for each server, over all of its ranges, the orders that failed.
+
+    An order fails if it is not sent, refused a connection, unanswered, or answered by another
+    server. A server is suspect while its last order failed; doubtful also for DOUBT_S after an
+    unanswered order; lost after LOST_FAILURES over LOST_AFTER_S; and silent from an unanswered
+    order until it answers one.
 
     :ivar orders: logs orders that go unanswered; nothing is decided by it.
     """
@@ -97,7 +102,7 @@
             self._refused_since_s.pop(server_id, None)
 
     def mark_silent(self, server_id: str) -> None:
-        """Record that a server has not answered a release yet."""
+        """Record that a server left an order unanswered, a release or one of the predecessor."""
         self._silence.setdefault(server_id, _Silence())
 
     def silent_servers(self) -> tuple[str, ...]:
@@ -120,7 +125,7 @@
             silence.probing_sender = None
 
     def is_silent(self, server_id: str) -> bool:
-        """Return whether the server received an order's bytes and has answered no order since.
+        """Return whether the server left an order unanswered and has answered none since.
 
         Its process may be paused, with the order in its queue for any time. Failures to open
         further connections show nothing, since its accept queue may be full.
@@ -132,7 +137,7 @@
         return self._refused_since_s.get(server_id)
 
     def is_suspect(self, server_id: str) -> bool:
-        """Return whether the last order did not reach the server: it gets no further ranges."""
+        """Return whether the last order to the server failed: it gets no further ranges."""
         return server_id in self._failures
 
     def is_doubtful(self, server_id: str) -> bool:
--- a/indigoworks/ownership/table_recovery.py
+++ b/indigoworks/ownership/table_recovery.py
@@ -102,6 +102,8 @@
                 )
         above = first_number(self._leadership.era)
         await self._release_elsewhere(table.service, unsure, holders, token_in_era(table, above))
+        # Doubted ranges are those not confirmed; unsure ones are these, or all if the former era is
+        # not known.
         log_message(
             message_type="ownership:recovered",
             service=table.service,
@@ -113,9 +115,9 @@
             is_known=is_known,
             led_before=self._led(table),
         )
-        doubted = set(unsure)
+        unsure_set = set(unsure)
         carried = [
-            self._unsure(each, holders) if each in doubted else self._sure(table.service, each)
+            self._unsure(each, holders) if each in unsure_set else self._sure(table.service, each)
             for each in table.ranges
         ]
         return in_new_era(table, carried, above)
@@ -126,11 +128,16 @@
         return self._leadership.led_former_era(table.version.era)
 
     async def _is_confirmed(self, table: OwnershipTable, owned: OwnedRange) -> bool:
-        """Return whether the owner renews its grant, or this process granted the range itself."""
+        """Return whether only the owner and the former owners in the row may hold the range.
+
+        If this process led: True without an order for a range that it had not granted, and else
+        unless the owner refuses to renew its grant under its token. If another process led: False
+        without an order for a range with former owners, and else only if the owner renews.
+        """
         is_own = self._led(table)
         granted = self._keepers.granted_at_stop(table.service)
         if owned not in granted if is_own else owned.former:
-            # A leader knows its own grants; another leader may not have granted this range yet.
+            # A leader knows that it has not granted a range; another one may have done it or not.
             return is_own
         tries = 1 if self._leadership.knows_former_era(table.version.era) else UNKNOWN_ERA_TRIES
         result = await self._confirm(table.service, owned, tries)
@@ -215,5 +222,5 @@
         return hold_s * CLOCK_DRIFT_FACTOR + SEND_MARGIN_S
 
     def _may_act_until_s(self) -> float:
-        """Return until when a leader of a former era may act, by the age of its newest proof."""
+        """Return until when a leader of a former era may act: a lease after that era ended."""
         return self._leadership.others_led_until_s + LEADER_LEASE_S
--- a/indigoworks/ownership/transfer_proof.py
+++ b/indigoworks/ownership/transfer_proof.py
@@ -13,7 +13,7 @@
     SERVER_REPLACED = "server_replaced"
     """The former owner was known to have ended; the log line `server:replaced` has the reason."""
     OWN_BOUND = "own_bound"
-    """All holds have ended, last one granted by this process."""
+    """All holds have ended, last one that this process recorded; see HoldBounds for "own"."""
     PREDECESSOR_BOUND = "predecessor_bound"
     """All holds have ended, last one granted by an earlier leader."""
     NO_BOUND = "no_bound"
