--- a/indigoworks/ownership/leadership.py
+++ b/indigoworks/ownership/leadership.py
@@ -161,7 +161,7 @@
         return self.predecessor if self._names_us() and not self.is_acting() else self._row
 
     def is_acting(self) -> bool:
-        """Return whether this process has begun to lead in the newest epoch."""
+        """Return whether the row names this process and `start_acting` was called for its epoch."""
         return self._names_us() and self._acting_epoch == self._row.epoch
 
     def _is_first_after(self, era: int) -> bool:
@@ -222,8 +222,8 @@
     async def challenge_if_lost(self) -> None:
         """Try to take over the leadership if the leader is lost; `is_named` shows the result."""
         reason = self._reason_to_challenge()
-        is_next = reason == "own_earlier_boot" and self._challenge_delay.may_skip_delay()
-        if reason is not None and reason != "led_before" and not is_next:
+        skips_delay = reason == "own_earlier_boot" and self._challenge_delay.may_skip_delay()
+        if reason is not None and reason != "led_before" and not skips_delay:
             await self._clock.sleep(self._challenge_delay.wait_s(self._row.node))
             reason = self._reason_to_challenge()
         if reason is not None:
--- a/indigoworks/ownership/load_balancer.py
+++ b/indigoworks/ownership/load_balancer.py
@@ -75,7 +75,8 @@
 than it is."""
 
 MIN_ROOM = 0.1
-"""Share of its slots by which a target of overload moves is below `level`, if any server is."""
+"""Share of its slots by which the target of an overload move is below the level that moves aim at.
+The least loaded server is the target if none is."""
 
 
 class LoadBalancer:
--- a/indigoworks/ownership/table_editor.py
+++ b/indigoworks/ownership/table_editor.py
@@ -31,7 +31,7 @@
 
 
 def with_moves(table: OwnershipTable, moves: Sequence[RangeMove]) -> OwnershipTable:
-    """Return the table after `moves`; moved keys get a new token."""
+    """Return the table after `moves`; moved keys get a new token, above all that were used."""
     token = table.highest_token + TOKEN_STEP
     ranges = list(table.ranges)
     for move in moves:
--- a/indigoworks/ownership/table_writer.py
+++ b/indigoworks/ownership/table_writer.py
@@ -83,7 +83,8 @@
             for row in rows:
                 if row.key == LEADER_KEY:
                     self._leadership.record_former_row(LeaderRow.decode(row.value, row.version))
-            # A process that followed that era knows its newest table; newer rows were written late.
+            # A process that followed that era to its end knows the table of then; newer rows were
+            # written late.
             if not self._leadership.knows_former_era(era):
                 self._tables.apply(rows)
             if any(row.key.startswith(OWNERS_PREFIX) for row in rows):
