--- a/indigoworks/broker/broker_client.py
+++ b/indigoworks/broker/broker_client.py
@@ -22,7 +22,7 @@
 0.1 s a third of all requests that a broker received were such duplicates."""
 
 RELEASE_RESEND_PAUSES_S = (0.02, 0.04)
-"""Pauses before the copies of a release that other gateways wait for."""
+"""Pauses before the release of a lock is sent again, as others may wait for the lock."""
 
 Send = Callable[[PeerAddress, SlotRequest | SlotRelease], None]
 
--- a/indigoworks/broker/broker_queue.py
+++ b/indigoworks/broker/broker_queue.py
@@ -22,8 +22,8 @@
 from indigoworks.servers.server_source import ServerSource
 
 EXTRA_REQUESTS_PER_SERVER = 0
-"""Requests that a server may have beyond its slots. None: a request that waits at the broker can
-still go to the first free server, and requests of all gateways are ordered by priority."""
+"""Requests that a server may have beyond its slots. 0, because a request that waits at the broker
+can still go to the first free server, and requests of all gateways are ordered by priority."""
 
 
 class BrokerQueue:
@@ -60,7 +60,7 @@
             self._selector, owners, self.server_stats, self._capacity, clock, counts_all=True
         )
 
-    def has_free_slot(self, request: SlotRequest) -> bool:
+    def may_place_at_once(self, request: SlotRequest) -> bool:
         """Tell whether the request can be placed at once.
 
         Either a server that it may go to has a free slot and no request is queued for the service,
@@ -95,12 +95,12 @@
         ahead = self.queue.waiting_by_service().get(request.service, 0)
         load = CandidateLoad.of(servers, self.server_stats, self._capacity)
         # The retry of a refused request is scheduled after those of all others.
-        line_s = (
+        scheduled_s = (
             0.0
             if load.rate_per_s is None
             else self.queue.admission.schedule_length_s(request.service)
         )
-        return max(load.wait_s(ahead), line_s)
+        return max(load.wait_s(ahead), scheduled_s)
 
     def servers_changed(self) -> None:
         """Retry placing the queued requests after a change of the servers."""
@@ -110,7 +110,7 @@
     def refresh(self) -> None:
         """Restore servers whose exclusion has ended, and remove those that are no longer listed."""
         self.load.refresh()
-        self.unreachable.restore_rested()
+        self.unreachable.restore_excluded()
         for server_id in self.server_stats.known_servers():
             if self._servers.get(server_id) is None:
                 self.server_stats.forget(server_id)
--- a/indigoworks/broker/broker_selector.py
+++ b/indigoworks/broker/broker_selector.py
@@ -13,9 +13,9 @@
 """A gateway from which nothing was received for longer is not selected as broker."""
 
 MAX_SILENCE_LARGE_GROUP_S = 1.0
-"""MAX_SILENCE_S for a group that is large enough for hubs: while none works, its gateways report
-every 0.6 s. With a shorter time each gateway would see no other between reports and would select
-itself as broker."""
+"""MAX_SILENCE_S for a large group, see PeerDirectory.has_many. Its gateways report through hubs, or
+without a hub every 0.6 s. With a shorter time each gateway would see no other between reports and
+would select itself as broker."""
 
 MAX_UNANSWERED = 3
 """Consecutive unanswered requests after which a broker is excluded. Not fewer: a broker that is
@@ -67,7 +67,7 @@
     def broker(self, service: str, zone: str) -> PeerAddress | None:
         """Return the gateway to request slots from, or None if there is none.
 
-        None before this process has read any group member: it cannot know which broker others use.
+        None before this process knows any group member: it cannot know which broker others use.
         """
         if not self._directory.has_any():
             return None
--- a/indigoworks/broker/broker_subsystem.py
+++ b/indigoworks/broker/broker_subsystem.py
@@ -38,9 +38,11 @@
 
     :param own: address of this process as peers know it.
     :param server_stats: requests in flight as known to this gateway.
-    :param cuts: returns which share of the group this process receives reports from.
+    :param partition_monitor: knows from which share of the group this process receives reports.
     :param doubts: its new doubts are broadcast to peers, and those of peers are merged into it.
     :ivar broker: grants slots to other gateways and this one.
+    :ivar client: sends requests to brokers.
+    :ivar selector: selects the broker for a service and zone.
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         clock: Clock,
         random: Random,
         doubts: DoubtTable,
-        cuts: PartitionMonitor,
+        partition_monitor: PartitionMonitor,
         open_datagrams: OpenDatagrams = DatagramEndpoint,
     ) -> None:
         self._own = own
@@ -65,7 +67,7 @@
         self._server_stats = server_stats
         self._clock = clock
         self._random = random
-        self._cuts = cuts
+        self._partition_monitor = partition_monitor
         self._port = open_datagrams(_broker_address(own.address), self._handle_datagram)
         self.broker = SlotBroker(self._make_queue, clock)
         self.client = BrokerClient(self._send_to, clock)
@@ -101,7 +103,7 @@
             self._platform.is_keyed,
             self._clock,
             zone,
-            self._cuts.heard_share,
+            self._partition_monitor.heard_share,
         )
         return BrokerQueue(
             zone,
--- a/indigoworks/broker/group_locks.py
+++ b/indigoworks/broker/group_locks.py
@@ -29,15 +29,17 @@
     """Implements `AttemptLocks`: by brokers, and also by the store if a member is out of reach.
 
     In a network partition each side has a broker of its own, and each of these grants a lock. The
-    holder then also acquires a lock in the store, which all sides share: one write for an attempt,
-    whatever the number of gateways. A side that reaches all members also uses the store's lock
-    once another side has written it.
+    holder then also acquires a lock in the store, which all sides share: one write to acquire and
+    one to release it, whatever the number of gateways. A side that reaches all members also uses
+    the store's lock once another side has written it.
     """
 
-    def __init__(self, brokered: AttemptLocks, stored: StoredLocks, cuts: PartitionMonitor) -> None:
+    def __init__(
+        self, brokered: AttemptLocks, stored: StoredLocks, partition_monitor: PartitionMonitor
+    ) -> None:
         self._brokered = brokered
         self._stored = stored
-        self._cuts = cuts
+        self._partition_monitor = partition_monitor
 
     async def acquire(
         self, mark: int, limit_s: float, lease_s: float
@@ -46,7 +48,7 @@
         brokered = await self._brokered.acquire(mark, limit_s, lease_s)
         if brokered is None or isinstance(brokered, Refusal):
             return brokered
-        if not self._cuts.is_partitioned() and not self._stored.is_in_use(mark):
+        if not self._partition_monitor.is_partitioned() and not self._stored.is_in_use(mark):
             return brokered
         stored = await self._acquire_stored(brokered, mark, limit_s, lease_s)
         if stored is None:
--- a/indigoworks/broker/lock_table.py
+++ b/indigoworks/broker/lock_table.py
@@ -15,8 +15,8 @@
 
 PAUSE_AFTER_CRASH_S = 1.1
 """Wait after an attempt that crashed a server. Crashes within one second count once, as servers
-also crash together for other reasons: a harmful request with concurrent attempts at several
-servers would crash many of them before it is refused."""
+also crash together for other reasons. Without the wait a harmful request would crash several
+servers within that second, which count once, and many before it is refused."""
 
 CLEARED_S = 2.0
 """Time after a served attempt for which no lock is needed: within 0.5 s the gateways know that the
@@ -56,8 +56,8 @@
 class LockTable:
     """Grants one attempt at a time of each suspect request, over all gateways.
 
-    Concurrent attempts at a server that crashes count as one crash. Without the lock each of the
-    next owners would get as many attempts again before the third crash is known.
+    A request is refused after CRASH_LIMIT crashes (quarantine), and concurrent attempts at a server
+    that crashes count as one. Without the lock they would crash further servers before that.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -123,7 +123,7 @@
     def _grant_waiting(self, lock: _Lock) -> None:
         now_s = self._clock.now()
         while lock.waiters and now_s < lock.cleared_until_s:
-            self._grant_next(lock)
+            self._grant_cleared(lock)
         if lock.holder is None and lock.waiters and now_s >= lock.free_s:
             name, waiter = next(iter(lock.waiters.items()))
             lock.holder, lock.held_until_s = name, now_s + waiter.request.lease_s
@@ -131,7 +131,7 @@
             _grant(waiter.requester, waiter.request)
         self._refuse_late(lock, lambda each: max(now_s, lock.free_s) > each.until_s)
 
-    def _grant_next(self, lock: _Lock) -> None:
+    def _grant_cleared(self, lock: _Lock) -> None:
         name, waiter = next(iter(lock.waiters.items()))
         del lock.waiters[name]
         del self._marks[name]
--- a/indigoworks/broker/slot_broker.py
+++ b/indigoworks/broker/slot_broker.py
@@ -61,7 +61,7 @@
             self._locks.handle_request(requester, request)
             return
         queue = self._queue_of(request.zone)
-        if not request.may_wait and not queue.has_free_slot(request):
+        if not request.may_wait and not queue.may_place_at_once(request):
             wait_s = queue.wait_s(request)
             requester.send_reply(SlotReply(request.number, SlotOutcome.FULL, wait_s=wait_s))
             return
--- a/indigoworks/broker/slot_release.py
+++ b/indigoworks/broker/slot_release.py
@@ -10,7 +10,7 @@
     """Releases the slot or lock of the request `number`, or withdraws that request.
 
     :ivar is_served: the server ran the caller's request and answered.
-    :ivar word: load that the server reported with its response, or None.
+    :ivar server_load: load that the server reported with its response, or None.
     :ivar has_ended_server: the server crashed while it ran the request.
     :ivar is_unreached: connecting to the server failed.
     """
--- a/indigoworks/broker/stored_lock.py
+++ b/indigoworks/broker/stored_lock.py
@@ -13,9 +13,9 @@
 
     :ivar boot: boot id of the gateway that wrote it.
     :ivar number: number that this gateway gave to it, to recognize its own writes.
-    :ivar mark: short mark of the request.
+    :ivar mark: see RequestMark.short.
     :ivar until_ms: expiry, as a reading of the store's steady clock in milliseconds.
-    :ivar is_open: an attempt was served: until then all attempts may go on, not only the holder's.
+    :ivar is_open: an attempt was served: until `until_ms` all attempts may go on.
     """
 
     boot: str
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -31,7 +31,7 @@
 """Pause after a failed write of a release."""
 
 FEED_WAIT_S = 0.5
-"""After a conflicting write, longest wait for that write to arrive in the followed rows."""
+"""After a conflicting write, longest wait until `apply_rows` gets the row that won."""
 
 STORE_LOST_S = 1.0
 """A store that has not answered for longer is not used for locks."""
@@ -50,7 +50,7 @@
 """Attempts to write a release; if all fail, the lock ends with its lease."""
 
 IN_USE_S = 3.0
-"""A row that expired less than this ago shows that another side of a partition uses it."""
+"""A row with an expiry less than this ago counts as used by another side of a partition."""
 
 MS_PER_S = 1000.0
 
@@ -70,11 +70,11 @@
 
 
 class StoredLocks:
-    """One lock for each suspect request, acquired by conditional writes to a row.
+    """Locks of suspect requests, acquired by conditional writes; one lock for each of ROWS rows.
 
-    A member that is not heard has ended or is on another side of a partition; the store serves for
-    both cases, as every member that is in touch reaches it. A lock costs one write, and its release
-    another.
+    A member that is not heard has ended or is on another side of a partition. The store serves for
+    both cases; a member that has lost the store is not bound by the locks. A lock costs one write,
+    and its release another.
 
     :param boot: boot id of this process.
     """
@@ -105,7 +105,7 @@
                 )
 
     def is_in_use(self, mark: int) -> bool:
-        """Tell whether another gateway uses the row of a request."""
+        """Tell whether another gateway holds the row of a request, or did until IN_USE_S ago."""
         lock = self._stored(mark)
         if lock is None or lock.boot == self._boot:
             return False
@@ -181,17 +181,17 @@
 
     def _awaits_conflicting_row(self, mark: int) -> bool:
         """Tell whether another gateway has written the row, and that write has not arrived yet."""
-        outrun = self._conflicts.get(_key(mark))
-        if outrun is None or self._clock.now() > outrun.at_s + FEED_WAIT_S:
+        conflict = self._conflicts.get(_key(mark))
+        if conflict is None or self._clock.now() > conflict.at_s + FEED_WAIT_S:
             return False
         known = self._rows.get(_key(mark))
-        return outrun.version == (ABSENT if known is None else known.version)
+        return conflict.version == (ABSENT if known is None else known.version)
 
     def _is_own(self, lock: StoredLock, number: int) -> bool:
         return (lock.boot, lock.number) == (self._boot, number)
 
     def _is_store_lost(self) -> bool:
-        """Tell whether this process has lost the store: then no lock binds it or delays callers."""
+        """Tell whether this process has lost the store: then attempts go on without its locks."""
         since_s = self._unreached_since_s
         unreached_s = 0.0 if since_s is None else self._clock.now() - since_s
         return max(unreached_s, self._health.lost_for_s()) > STORE_LOST_S
--- a/indigoworks/broker/unreachable_servers.py
+++ b/indigoworks/broker/unreachable_servers.py
@@ -33,7 +33,7 @@
             self._server_stats.set_down(server_id, True)
             self._until_s[server_id] = now_s + EXCLUSION_S
 
-    def restore_rested(self) -> None:
+    def restore_excluded(self) -> None:
         """Restore servers whose exclusion has ended, and remove old reports."""
         now_s = self._clock.now()
         for server_id in [each for each, until_s in self._until_s.items() if until_s <= now_s]:
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -64,7 +64,7 @@
         return self._servers.has_resting()
 
     def rest_left_s(self, server_id: str) -> float:
-        """Return 0: servers ask single gateways for rest, which name them in their requests."""
+        """Return 0: a rest applies to one gateway, which lists the server in SlotRequest.tried."""
         return 0.0
 
     def rest_left_s_for_many(self, server_id: str) -> float:
--- a/indigoworks/router/caller_headers.py
+++ b/indigoworks/router/caller_headers.py
@@ -14,7 +14,7 @@
 """Milliseconds that the caller waits; capped at the service's timeout."""
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
-"""Requests resent with the same key are answered from a single run."""
+"""Requests resent with the same key are answered from one run, see IdempotencyCache for limits."""
 
 OUTCOME = "Indigoworks-Outcome"
 """Outcome of the request: completed, not-run or unknown."""
--- a/indigoworks/router/caller_request.py
+++ b/indigoworks/router/caller_request.py
@@ -13,7 +13,7 @@
     :ivar path: path and query, forwarded to the back end unchanged.
     :ivar headers: end-to-end headers, as (name, value).
     :ivar timeout_s: seconds the caller waits; None: the service's timeout applies.
-    :ivar idempotency_key: requests resent with it are answered from a single run; None: not set.
+    :ivar idempotency_key: see IdempotencyCache; None: not set.
     """
 
     request_id: str
--- a/indigoworks/router/dispatcher_choice.py
+++ b/indigoworks/router/dispatcher_choice.py
@@ -17,7 +17,7 @@
     that joins or leaves moves only the servers it dispatches to. Routers in the server's zone are
     preferred; if there are none, all routers are eligible, so that every server has a dispatcher.
 
-    :param suspects: routers that recently failed to answer; they are skipped.
+    :param suspects: routers that recently failed to answer or declined; they are skipped.
     """
     eligible = [router for router in routers if router not in suspects]
     nearby = [router for router in eligible if router.zone == server.zone]
--- a/indigoworks/router/forward_service.py
+++ b/indigoworks/router/forward_service.py
@@ -18,7 +18,7 @@
 from indigoworks.wire import control_pb2
 
 SERVER_WAIT_S = 0.3
-"""Longest wait for a view that contains the server: the sender's view may be newer."""
+"""Longest wait for a view with the server and service: the sender's view may be newer."""
 
 
 class ForwardService:
@@ -66,7 +66,7 @@
         return control_pb2.Frame(cancel_reply=control_pb2.CancelReply())
 
     def _refusal(self, message: control_pb2.ForwardRequest) -> RouterError | None:
-        """Return why the request is not accepted, or None; the sender then reroutes it."""
+        """Return why the request is refused, which makes the sender reroute it, or None."""
         if message.dispatcher_incarnation != self._member.incarnation:
             reason = "it was meant for another process of that router."
             return refusals.dispatcher_unreachable(self._member.name, reason)
--- a/indigoworks/router/forwarder.py
+++ b/indigoworks/router/forwarder.py
@@ -21,7 +21,7 @@
 FORWARD_GRACE_S = 0.1
 """Time past the deadline during which the dispatcher's own result is still awaited."""
 
-PROBE_AFTER_S = 0.3
+PROBE_INTERVAL_S = 0.3
 """Interval at which the dispatcher of a waiting repeatable request is probed."""
 
 CANCEL_TIMEOUT_S = 0.5
@@ -102,7 +102,7 @@
         self._calls[peer] += 1
         try:
             while True:
-                await asyncio.wait({call}, timeout=PROBE_AFTER_S)
+                await asyncio.wait({call}, timeout=PROBE_INTERVAL_S)
                 if call.done():
                     return call.result()
                 if self._may_give_up(frame) and not await self._monitor.is_alive(peer, client):
--- a/indigoworks/router/idempotency_cache.py
+++ b/indigoworks/router/idempotency_cache.py
@@ -116,9 +116,9 @@
             # In the event-loop iteration that caches the response: a resend finds one or the other.
             del self._runs[identity]
 
-    def _store(self, identity: IdempotencyId, remembered: FinishedRun) -> None:
-        self._finished[identity] = remembered
-        self._finished_bytes += len(remembered.response.body)
+    def _store(self, identity: IdempotencyId, finished: FinishedRun) -> None:
+        self._finished[identity] = finished
+        self._finished_bytes += len(finished.response.body)
         self._evict_old()
 
     def _evict_old(self) -> None:
--- a/indigoworks/router/metrics.py
+++ b/indigoworks/router/metrics.py
@@ -36,7 +36,7 @@
     def observe(
         self, service: str, group: str, outcome: str, error_kind: str, duration_s: float
     ) -> None:
-        """Count an answered request; service and group must be names in the settings tree."""
+        """Count a finished request; service and group must not be arbitrary names from callers."""
         self._requests_of(service, group, outcome, error_kind).inc()
         self._latency_of(service, group).observe(duration_s)
 
--- a/indigoworks/router/peer_clock.py
+++ b/indigoworks/router/peer_clock.py
@@ -35,5 +35,5 @@
     def _bound_s(self, now_s: float) -> float | None:
         if self._difference_s is None:
             return None
-        # The clocks may have drifted apart since the reading.
+        # Since the reading each of the two clocks may have drifted by MAX_CLOCK_DRIFT.
         return self._difference_s - 2 * MAX_CLOCK_DRIFT * (now_s - self._recorded_at_s)
--- a/indigoworks/router/peer_monitor.py
+++ b/indigoworks/router/peer_monitor.py
@@ -49,7 +49,7 @@
         self._last_suspicion_until_s = float("-inf")
 
     def suspects(self) -> frozenset[RouterPeer]:
-        """Return the routers that recently failed."""
+        """Return the routers that recently failed to answer or declined a request."""
         now_s = self._clock.now()
         if now_s >= self._last_suspicion_until_s:
             return _NO_PEERS
@@ -59,7 +59,7 @@
         return frozenset(suspected)
 
     def mark_suspect(self, peer: RouterPeer) -> None:
-        """Record a failure of the router; failures while it is suspected count once."""
+        """Record a failed probe or forward; failures while the router is suspected count once."""
         state = self._state(peer)
         now_s = self._clock.now()
         state.replied_at_s = float("-inf")
--- a/indigoworks/router/refusals.py
+++ b/indigoworks/router/refusals.py
@@ -22,13 +22,13 @@
 )
 
 MIN_RETRY_AFTER_S = 0.1
-"""Minimum Retry-After."""
+"""Lower bound of the retry delays that are derived from a wait."""
 
 RETRY_JITTER = 0.5
 """Maximum jitter as a share of the delay, so that callers do not retry simultaneously."""
 
 REASSIGNMENT_S = 1.0
-"""Time within which a key without an owner is usually reassigned."""
+"""Time within which a key is usually reassigned, or a router's view renewed."""
 
 STOPPING_RETRY_AFTER_S = 0.2
 """Retry-After of a stopping router: the request can be repeated at another one."""
--- a/indigoworks/router/request_check.py
+++ b/indigoworks/router/request_check.py
@@ -64,7 +64,7 @@
 
 
 def _is_below(path: str, prefix: str) -> bool:
-    """Match whole path segments: `/stock` matches `/stock/7`, but not `/stock-orders`."""
+    """Match whole segments, `/stock` to `/stock/7`, not to `/stock-orders`; paths with .. never."""
     if ".." in path:
         return False
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
--- a/indigoworks/router/request_path.py
+++ b/indigoworks/router/request_path.py
@@ -80,7 +80,7 @@
             if isinstance(result, Ok):
                 return result
             error = result.unwrap_err()
-            self._record_loss(request, error)
+            self._record_unknown_outcome(request, error)
             if not await self._may_try_again(request, route, error):
                 return Err(self._verdict(request, error))
 
@@ -148,14 +148,14 @@
         return True
 
     def _verdict(self, request: RoutedRequest, error: RouterError) -> RouterError:
-        """Return the error to report: after a lost response it is that loss, never "not run"."""
-        return request.lost_answer if request.lost_answer is not None else error
+        """Return the first error after which the request may have run; if none, `error`."""
+        return request.first_unknown_outcome if request.first_unknown_outcome is not None else error
 
     # ---- helpers ----
 
-    def _record_loss(self, request: RoutedRequest, error: RouterError) -> None:
-        if error.outcome is Outcome.UNKNOWN and request.lost_answer is None:
-            request.lost_answer = error
+    def _record_unknown_outcome(self, request: RoutedRequest, error: RouterError) -> None:
+        if error.outcome is Outcome.UNKNOWN and request.first_unknown_outcome is None:
+            request.first_unknown_outcome = error
 
     def _log_attempt(self, request: RoutedRequest, route: Route, result: DispatchResult) -> None:
         log_message(
--- a/indigoworks/router/routed_request.py
+++ b/indigoworks/router/routed_request.py
@@ -18,7 +18,8 @@
     :ivar retries: number of retries charged to the retry budget.
     :ivar reroutes: number of times that it was rerouted after its route had changed.
     :ivar waited_s: total time spent waiting for a changed route.
-    :ivar lost_answer: error of the first lost response; if set, the outcome is never "not run".
+    :ivar first_unknown_outcome: first error after which the request may have run; if set, the
+        outcome is never "not run".
     :ivar position: hash of the key, its position on the ring.
     """
 
@@ -29,7 +30,7 @@
     retries: int = 0
     reroutes: int = 0
     waited_s: float = 0.0
-    lost_answer: RouterError | None = None
+    first_unknown_outcome: RouterError | None = None
     position: int = field(init=False)
 
     def __post_init__(self) -> None:
--- a/indigoworks/router/router.py
+++ b/indigoworks/router/router.py
@@ -237,7 +237,7 @@
         await self._follower.run()
 
     async def _observe_views(self) -> None:
-        """Update dispatchers, connections and peer states after each change of the view."""
+        """Update dispatchers, connections and peer states after each applied view reply."""
         while True:
             view = await self._follower.next_change()
             self._pool.apply_view(view)
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -13,7 +13,7 @@
 from indigoworks.settings.settings_tree import DEFAULT_GROUP
 
 _NO_NAME = "-"
-"""Metric label of a service or group that is not in the settings."""
+"""Metric label of service and group if the service is unknown or there is no view."""
 
 
 class RouterObserver:
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -26,7 +26,8 @@
 
 REFUSED_BODY_BYTES = 64 * 1024 * 1024
 """A refused body up to this size is read and discarded, so that the caller gets a response instead
-of a broken connection. For a larger one the response is sent at once and the connection closed."""
+of a broken connection. For a larger one, and if the request has an Expect header, the response is
+sent at once and the connection closed."""
 
 BODY_TIMEOUT_S = 30.0
 """Timeout for receiving a body; then the connection is closed."""
@@ -72,7 +73,7 @@
         group = self._group()
         known_limit = self._router.max_body_bytes(self._path.service, group)
         self._limit_bytes = MAX_BODY_BYTES if known_limit is None else known_limit
-        self._refuse_announced_body()
+        self._check_announced_body()
 
     def data_received(self, chunk: bytes) -> None:
         """Store a chunk of the body, or discard it if the request is refused."""
@@ -110,7 +111,7 @@
         """Skip the check: callers are programs that send no cookies."""
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer after an internal error or for an unsupported method."""
+        """Answer after an exception or an HTTP error raised by the framework."""
         if status_code == RouterFault.status or status_code >= 500:
             self._write_response(response_from_error(_fault()))
         else:
@@ -120,7 +121,7 @@
 
     # ---- request ----
 
-    def _refuse_announced_body(self) -> None:
+    def _check_announced_body(self) -> None:
         announced = self.request.headers.get("Content-Length", "0")
         size_bytes = int(announced) if announced.isdecimal() else 0
         connection: Any = self.request.connection
--- a/indigoworks/router/service_time_estimate.py
+++ b/indigoworks/router/service_time_estimate.py
@@ -31,7 +31,7 @@
     def finish(self, measurement: int, is_served: bool) -> float:
         """End a measurement.
 
-        :param is_served: the back end ran the request; a refusal does not change the estimate.
+        :param is_served: whether the back end may have run the request; a refusal is not counted.
         :returns: seconds since the start.
         """
         elapsed_s = self._clock.now() - self._started.pop(measurement)
--- a/indigoworks/router/view_follower.py
+++ b/indigoworks/router/view_follower.py
@@ -96,7 +96,7 @@
             return None
 
     async def next_change(self) -> RoutingView:
-        """Wait for the next newer view; changes in quick succession may be returned as one."""
+        """Wait for the next applied reply and return the view; some replies may be skipped."""
         await self._changed.wait()
         if self._view is None:
             raise AssertionError("the view changed but is not set")
@@ -116,7 +116,7 @@
     async def _follow(self, address: Address) -> bool:
         """Poll a controller until it fails or the first choice is due to be tried again.
 
-        :returns: whether it answered at least once.
+        :returns: whether at least one reply was applied and fresh enough.
         """
         client = RpcClient(address, self._group_id)
         polls = 0
--- a/indigoworks/router/view_lease.py
+++ b/indigoworks/router/view_lease.py
@@ -7,7 +7,7 @@
     """Expiry time of a router's view on the router's own clock.
 
     The lease starts at the clock reading taken before the poll was sent, less the staleness that
-    the reply reports: a delayed reply can only shorten the lease, never extend it.
+    the reply reports: a delayed reply never makes it last longer than the confirmation allows.
     """
 
     def __init__(self) -> None:
--- a/indigoworks/router/view_update.py
+++ b/indigoworks/router/view_update.py
@@ -26,7 +26,7 @@
 def updated_view(
     view: RoutingView | None, reply: control_pb2.ViewReply
 ) -> Result[RoutingView, ViewError]:
-    """Return the view updated by `reply`; the same object if the reply contains nothing newer.
+    """Return the view updated by `reply`, or why the reply cannot be applied.
 
     The generation never decreases, nor does the version within a generation.
     """
--- a/indigoworks/routes/configuration_holder.py
+++ b/indigoworks/routes/configuration_holder.py
@@ -7,9 +7,9 @@
 from indigoworks.routes.configuration import Configuration
 
 NEWER_VERSION_VALID_S = 5.0
-"""Time for which a peer's report of a newer version counts. A version without newer reports is no
-longer awaited: that process has ended or was out of sync. Twice the longest time in which
-a change must be in force in current deployments."""
+"""Time for which a peer's report of a newer version counts; then the peer has ended or was out of
+sync, and the version is no longer awaited. It is twice the longest time in which a change must be
+in force in current deployments."""
 
 
 class ConfigurationHolder:
@@ -28,7 +28,8 @@
     def record_newer_version(self, version: int, reported_at_s: float) -> None:
         """Record that another process has this version in force.
 
-        A store that was restored from a backup may lack it until the operator writes it again.
+        A store that was restored from a backup may lack it until the operator writes it again, so
+        that this process cannot read it. Older versions than the newest recorded are ignored.
 
         :param reported_at_s: clock reading when that process reported it.
         """
