--- a/indigoworks/relay/__init__.py
+++ b/indigoworks/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Feeds of the store through one gateway of each zone, where there are many gateways."""
+"""Follows the row store through one relay gateway per zone, where there are many gateways."""
--- a/indigoworks/relay/feed_history.py
+++ b/indigoworks/relay/feed_history.py
@@ -1,4 +1,4 @@
-"""The newest changes of one table, as this process followed them."""
+"""Recent changes of one table, kept to serve them to other gateways."""
 
 import asyncio
 from collections.abc import Sequence
@@ -9,19 +9,21 @@
 
 MAX_ROWS = 400
 MAX_BYTES = 2 * 1024 * 1024
-"""Older changes are dropped; who asks for them reads the store itself. The largest row known is a
-configuration of 2,533 routes, 0.44 MB; the newest value alone is kept of each row."""
+"""Bounds of a history; older changes are dropped, and gateways that need them read the store. The
+largest known row is a configuration of 2,533 routes, 0.44 MB; only the newest value of each row is
+kept."""
 
 
 class FeedHistory:
-    """The newest change of each row, in the order of versions, from `floor` to `version`.
+    """The newest change of each row, ordered by version, from `floor` to `version`.
 
-    All of them are of one era: a history begins anew when the store has come back from a copy.
+    All of them are of one era: a history restarts when the store was restored from a copy.
 
-    Earlier changes of a row are of no use to who asks later, and may be large. After a whole
-    reading whose rows were kept, all rows of the table are known: who is further back gets these.
+    Earlier changes of a row are of no use to later requests, and may be large. After a full read
+    whose rows were kept, the history has all rows of the table, and a gateway that is too far
+    behind gets them all.
 
-    :ivar floor: changes up to this version are not known here.
+    :ivar floor: changes up to this version are missing here.
     :ivar version: version up to which the table has been followed; NO_VERSION: not at all yet.
     """
 
@@ -34,12 +36,12 @@
         self._changed: asyncio.Future[None] | None = None
 
     def restart(self, version: StoreVersion, all_rows: Sequence[Row] | None = None) -> None:
-        """Begin anew after a whole reading of the table as of `version`.
+        """Start over after a full read of the table as of `version`.
 
-        A reading that the feed has overtaken meanwhile changes nothing: what lies between would be
-        missing without anyone knowing.
+        A read that the feed has overtaken is ignored: the changes in between would be lost without
+        notice.
 
-        :param all_rows: what was read, where it is to be kept; None: it is not.
+        :param all_rows: the rows read, if the history is to keep them; None: it is not.
         """
         if version <= self.version:
             return
@@ -54,7 +56,7 @@
         self.wake()
 
     def add(self, rows: Sequence[Row], version: StoreVersion) -> None:
-        """Add what a step of the feed brought; what is known already is passed over."""
+        """Add the rows of a feed response; rows that are known already are skipped."""
         known = self.version
         for row in rows:
             if row.version > known:
@@ -66,15 +68,15 @@
                 self.wake()
 
     def knows_since(self, version: StoreVersion) -> bool:
-        """Tell whether all changes after `version` are known here."""
+        """Return whether all changes after `version` are known here."""
         return self.version > NO_VERSION and version >= self.floor
 
     def knows_all(self) -> bool:
-        """Tell whether every row of the table is known here, whenever it changed."""
+        """Return whether every row of the table is known here, whenever it changed."""
         return self._is_complete
 
     def all_rows(self) -> tuple[Row, ...]:
-        """Return every row that the table holds as of `version`, as far as `knows_all`."""
+        """Return every row of the table as of `version`; complete only if `knows_all`."""
         return tuple(row for row in self._rows.values() if not row.is_removed)
 
     def rows_after(self, version: StoreVersion) -> tuple[Row, ...]:
@@ -83,7 +85,7 @@
         return tuple(newer)[::-1]
 
     def has_after(self, version: StoreVersion) -> bool:
-        """Tell whether a row changed after `version`."""
+        """Return whether a row changed after `version`."""
         newest = next(reversed(self._rows.values()), None)
         return newest is not None and newest.version > version
 
@@ -94,7 +96,7 @@
         await asyncio.wait({self._changed}, timeout=timeout_s)
 
     def wake(self) -> None:
-        """Let everyone who waits look again."""
+        """Wake all waiting requests, so that they check their condition again."""
         if self._changed is not None:
             self._changed.set_result(None)
             self._changed = None
--- a/indigoworks/relay/feed_response.py
+++ b/indigoworks/relay/feed_response.py
@@ -1,4 +1,4 @@
-"""What a relay answers to a question for changed rows."""
+"""Response of a relay to a request for changed rows."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedResponse:
-    """Changed rows of one table, and how sure the relay is of them.
+    """Changed rows of one table, and how recently the relay confirmed them with the store.
 
-    :ivar version: to go on from.
-    :ivar proof_age_s: age of the newest answer that the relay has from the store; infinity: none.
+    :ivar version: version to follow the feed from next.
+    :ivar proof_age_s: age of the newest response that the relay has from the store; infinity: none.
     :ivar trouble_age_s: age of the relay's last trouble with the store; infinity: none.
-    :ivar is_gone: the relay does not know all that changed since the version asked for.
-    :ivar is_whole: `rows` are all rows of the table, not the changed ones alone.
+    :ivar is_gone: the relay does not have all changes since the requested version.
+    :ivar is_whole: `rows` are all rows of the table, not only the changed ones.
     """
 
     rows: tuple[Row, ...]
--- a/indigoworks/relay/feed_response_codec.py
+++ b/indigoworks/relay/feed_response_codec.py
@@ -1,4 +1,4 @@
-"""Answers of relays as bytes."""
+"""Encodes and decodes responses of relays."""
 
 import zlib
 from functools import lru_cache
@@ -12,30 +12,30 @@
 
 MS_PER_S = 1000.0
 NEVER_MS = 2**32 - 1
-"""Stands for an age of something that never was."""
+"""Age of an event that never happened."""
 
 COMPRESSED_BYTES = 1024
-"""Values of that size and more are compressed: smaller ones would gain less than a packet."""
+"""Smallest value that is compressed: on smaller ones it saves less than one packet."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest. A configuration of 2,533 routes shrinks from 435 KB to 51 KB in 3.4 ms of a whole
-core, with level 6 to 48 KB in 6.5 ms (measured on drawn names of routes)."""
+"""The fastest level. It shrinks a configuration of 2,533 routes with random names from 435 KB to
+51 KB in 3.4 ms of one core; level 6 takes 6.5 ms for 48 KB."""
 
 CACHED_VALUES = 8
-"""Compressed values that are kept: all gateways of a zone ask for the same newest rows."""
+"""Size of the cache of compressed values: all gateways of a zone request the same newest rows."""
 
 
-def encode_feed_response(answer: FeedResponse) -> bytes:
-    """Return the bytes of an answer."""
+def encode_feed_response(response: FeedResponse) -> bytes:
+    """Encode a response."""
     message = FeedAnswerMessage(
-        version=answer.version.counter,
-        era=answer.version.era,
-        proof_age_ms=_milliseconds(answer.proof_age_s),
-        trouble_age_ms=_milliseconds(answer.trouble_age_s),
-        is_gone=answer.is_gone,
-        is_whole=answer.is_whole,
+        version=response.version.counter,
+        era=response.version.era,
+        proof_age_ms=_milliseconds(response.proof_age_s),
+        trouble_age_ms=_milliseconds(response.trouble_age_s),
+        is_gone=response.is_gone,
+        is_whole=response.is_whole,
     )
-    for row in answer.rows:
+    for row in response.rows:
         is_compressed = len(row.value) >= COMPRESSED_BYTES
         message.rows.add(
             table=row.table,
@@ -51,7 +51,7 @@
 
 
 def decode_feed_response(body: bytes) -> FeedResponse | None:
-    """Return the answer in `body`; None where it is not one."""
+    """Decode the response in `body`; None if it is malformed."""
     message = FeedAnswerMessage()
     try:
         message.ParseFromString(body)
@@ -74,7 +74,7 @@
 
 
 def _row(message: RowMessage) -> Row:
-    """Return a row.
+    """Decode a row.
 
     :raises zlib.error: its value is damaged.
     """
@@ -84,7 +84,7 @@
 
 
 def _milliseconds(age_s: float) -> int:
-    """Ages are rounded up: nothing is taken to be newer than it is."""
+    """Return an age in milliseconds, rounded up so that nothing seems newer than it is."""
     return NEVER_MS if age_s == float("inf") else min(NEVER_MS, int(age_s * MS_PER_S) + 1)
 
 
--- a/indigoworks/relay/feed_server.py
+++ b/indigoworks/relay/feed_server.py
@@ -1,4 +1,4 @@
-"""Answers other gateways' questions for changed rows."""
+"""Serves changed rows to other gateways over HTTP."""
 
 import asyncio
 from urllib.parse import parse_qs
@@ -19,8 +19,8 @@
 from indigoworks.rowstore.store_health import StoreHealth
 from indigoworks.rowstore.store_version import StoreVersion
 
-WATCH_PERIOD_S = 0.2
-"""Time between two looks at whether the answers of the store are still fresh."""
+FRESHNESS_CHECK_PERIOD_S = 0.2
+"""Period of the check whether the store's responses are still fresh."""
 
 MAX_WAIT_S = 30.0
 MS_PER_S = 1000.0
@@ -29,10 +29,10 @@
 
 
 class FeedServer:
-    """Serves the histories of this process while it asks the store itself.
+    """Serves the histories of this process while it reads the store directly.
 
-    A question waits until there is something new, its time is over, or the store has been silent
-    for so long that the asker should ask the store itself.
+    A request is a long poll: it waits until there are new rows, until its time is over, or until
+    the store has been silent for so long that the requester should ask the store itself.
     """
 
     def __init__(
@@ -48,37 +48,37 @@
         self._health = health
         self._clock = clock
         self._listener = HttpListener(HTTPServer(self._handle), address)
-        self._answering: set[asyncio.Task[None]] = set()
+        self._request_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Listen.
+        """Start to listen.
 
         :raises OSError: the address cannot be bound.
         """
         self._listener.start()
 
     def stop(self) -> None:
-        """Accept no further connections; end the questions that wait."""
+        """Accept no further connections, and cancel the waiting requests."""
         self._listener.stop()
-        for task in self._answering:
+        for task in self._request_tasks:
             task.cancel()
 
     async def run(self) -> None:
-        """Wake those who wait as soon as what they wait for may be stale; until cancelled."""
+        """Wake waiting requests once the store's responses are stale; runs until cancelled."""
         while True:
-            await self._clock.sleep(WATCH_PERIOD_S)
-            if self._answering and not self._is_fresh():
+            await self._clock.sleep(FRESHNESS_CHECK_PERIOD_S)
+            if self._request_tasks and not self._is_fresh():
                 self._store.wake_waiters()
 
     def _handle(self, request: HTTPServerRequest) -> None:
-        task = asyncio.ensure_future(self._respond(request))
-        self._answering.add(task)
-        task.add_done_callback(self._answering.discard)
+        task = asyncio.ensure_future(self._serve(request))
+        self._request_tasks.add(task)
+        task.add_done_callback(self._request_tasks.discard)
 
     async def respond(self, query: str) -> HttpResponse:
-        """Return the answer to a question, once there is something new or its time is over.
+        """Return the response to a request, once there are new rows or its time is over.
 
-        :param query: part of the question's address behind the question mark.
+        :param query: query string of the request's URL.
         """
         fields = parse_qs(query)
         try:
@@ -90,40 +90,40 @@
         self._health.eras.record_era(after.era, "asker")
         self._choice.record_request()
         if not self._store.reads_store_directly():
-            reason = b"Ask the store: this gateway asks another one."
+            reason = b"Read the store: this gateway uses a relay itself."
             return HttpResponse(UNAVAILABLE_STATUS, (), reason)
-        rows = await self._feed_answer(table, after, wait_s)
-        return HttpResponse(OK_STATUS, (), encode_feed_response(rows))
+        response = await self._feed_response(table, after, wait_s)
+        return HttpResponse(OK_STATUS, (), encode_feed_response(response))
 
-    async def _respond(self, request: HTTPServerRequest) -> None:
-        answer = await self.respond(request.query)
+    async def _serve(self, request: HTTPServerRequest) -> None:
+        response = await self.respond(request.query)
         connection = request.connection
         assert connection is not None
-        headers = HTTPHeaders({"Content-Length": str(len(answer.body))})
-        start_line = ResponseStartLine("HTTP/1.1", answer.status, "")
+        headers = HTTPHeaders({"Content-Length": str(len(response.body))})
+        start_line = ResponseStartLine("HTTP/1.1", response.status, "")
         try:
-            connection.write_headers(start_line, headers, answer.body)
+            connection.write_headers(start_line, headers, response.body)
             connection.finish()
         except (StreamClosedError, OSError):
             pass
 
-    async def _feed_answer(self, table: str, after: StoreVersion, wait_s: float) -> FeedResponse:
+    async def _feed_response(self, table: str, after: StoreVersion, wait_s: float) -> FeedResponse:
         history = self._store.history(table)
         until_s = self._clock.now() + wait_s
         if not history.knows_since(after) and history.knows_all():
-            return self._answer_of(history.all_rows(), history.version, is_whole=True)
+            return self._response_with(history.all_rows(), history.version, is_whole=True)
         while history.knows_since(after) and not history.has_after(after) and self._is_fresh():
             left_s = until_s - self._clock.now()
             if left_s <= 0:
                 break
             await history.wait(left_s)
-        return self._answer_of(
+        return self._response_with(
             history.rows_after(after),
             max(after, history.version),
             is_gone=not history.knows_since(after),
         )
 
-    def _answer_of(
+    def _response_with(
         self,
         rows: tuple[Row, ...],
         version: StoreVersion,
--- a/indigoworks/relay/relay_client.py
+++ b/indigoworks/relay/relay_client.py
@@ -1,4 +1,4 @@
-"""Questions to relays that are under way."""
+"""HTTP client for requests to relays."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 from indigoworks.exchange.peer_address import PeerAddress
 
 TRANSFER_LIMITS = TransferLimits(idle_timeout_s=1.0, total_timeout_s=5.0)
-"""Of an answer whose headers have come. A relay that is lost in the middle of one is noticed as
-soon as a store is, and packets that queue on a full link for some tenths of a second end none;
-computed, 0.06 MB, a compressed configuration of 2,533 routes, come within the whole over a fiftieth
-of a link of 5 Mbit/s."""
+"""Limits of a response after its headers. A relay that fails during a response is detected as soon
+as the store would be, while packets that queue on a full link for some tenths of a second abort
+none. In the total time 0.06 MB, a compressed configuration of 2,533 routes, pass over a fiftieth of
+a 5 Mbit/s link."""
 
 
 class RelayClient:
-    """Asks relays; when one of them has failed, all questions that wait there end.
+    """Sends requests to relays; when a relay has failed, all requests pending there fail too.
 
-    Questions for tables that seldom change wait for up to 25 s. A relay that froze leaves them all
-    unanswered; the feed that probes the path notices it within 1 s, and nobody else would.
+    Long polls for tables that seldom change wait for up to 25 s. A frozen relay leaves them all
+    unanswered; only the feed that probes the path detects that soon, within 1 s.
     """
 
     def __init__(self, sender: HttpSender) -> None:
@@ -37,34 +37,35 @@
         timeout_s: float,
         grace_s: float = 0.0,
     ) -> Result[HttpResponse, BackendError]:
-        """Return the answer of `relay`; an error also where `note_failure` names it meanwhile.
+        """Send a request; an error also if `fail_pending` is called for the relay meanwhile.
 
-        :param timeout_s: seconds until the answer's headers have come.
-        :param grace_s: seconds that this question still has after such a failure: where packets
-            queue on a slow link the other question failed by that, and this answer is on its way.
+        :param timeout_s: seconds until the response's headers have arrived.
+        :param grace_s: seconds that this request may still take after such a failure. On a slow
+            link the other request may have failed by packets that queue there, while this response
+            is on its way.
         """
         failure = self._failures.setdefault(relay.node, asyncio.Event())
         sending = self._sender.send(relay.address, build, timeout_s, TRANSFER_LIMITS)
-        asking = asyncio.ensure_future(sending)
-        failing = asyncio.ensure_future(failure.wait())
+        pending = asyncio.ensure_future(sending)
+        failed = asyncio.ensure_future(failure.wait())
         try:
-            await asyncio.wait({asking, failing}, return_when=asyncio.FIRST_COMPLETED)
-            if not asking.done() and grace_s > 0:
-                await asyncio.wait({asking}, timeout=grace_s)
-            return asking.result() if asking.done() else Err(_given_up(relay))
+            await asyncio.wait({pending, failed}, return_when=asyncio.FIRST_COMPLETED)
+            if not pending.done() and grace_s > 0:
+                await asyncio.wait({pending}, timeout=grace_s)
+            return pending.result() if pending.done() else Err(_abandoned(relay))
         finally:
-            asking.cancel()
-            failing.cancel()
+            pending.cancel()
+            failed.cancel()
 
     def fail_pending(self, node: str) -> None:
-        """End all questions that wait at a relay."""
+        """Fail all requests that are pending at a relay."""
         failure = self._failures.pop(node, None)
         if failure is not None:
             failure.set()
 
 
-def _given_up(relay: PeerAddress) -> BackendError:
+def _abandoned(relay: PeerAddress) -> BackendError:
     return BackendUnreachable(
-        f"Relay {relay.node} has left another question unanswered.",
+        f"Relay {relay.node} has left another request unanswered.",
         "Ask another relay, or the store.",
     )
--- a/indigoworks/relay/relay_selector.py
+++ b/indigoworks/relay/relay_selector.py
@@ -1,4 +1,7 @@
-"""Which gateway of the zone a process asks for changed rows, if any."""
+"""Selects the relay: the gateway that a process asks for changed rows, if any.
+
+A relay follows the row store directly and serves the changed rows to other gateways of its zone.
+"""
 
 from collections.abc import Callable, Collection
 
@@ -8,29 +11,29 @@
 from indigoworks.exchange.peer_view import PeerView
 
 HEARD_S = 1.0
-"""A relay must have been heard within this time."""
+"""A relay must have sent a report within this time."""
 
 FAILED_S = 3.0
-"""A relay that failed is left alone for so long."""
+"""Time for which a relay that failed is not selected."""
 
 ASKS_ANOTHER_S = 1.0
-"""A gateway that asks another one itself is left alone for so long: within its own wait for an
-answer (RELAY_PROBE_WAIT_S and a margin of 0.3 s) it notices whether the other one has failed."""
+"""Time for which a gateway is not selected that uses a relay itself. Within its own wait for a
+response (RELAY_PROBE_WAIT_S and a margin of 0.3 s) it detects whether that one failed."""
 
 ASKED_S = 3.0
-"""A process acts as relay for so long after it was asked last."""
+"""Time for which a process counts as relay after the last request to it."""
 
 
 PROBE_WAIT_S = 2.0
-"""Longest wait of the feed that probes the path to the store. A path that was cut is noticed so
-much later at most, well within the time that leaving servers and new configurations leave."""
+"""Longest wait of the feed that probes the path to the store. A broken path is detected after at
+most this time, well within what leaving servers and new configurations allow."""
 
 RELAY_PROBE_WAIT_S = 0.7
-"""The same at a relay, and of questions to a relay: two stand one behind the other."""
+"""The same at a relay, and for requests to a relay: the two waits add up."""
 
 
 MIN_LINK_MBIT = 50.0
-"""A machine with a slower link is no relay: rows for a whole zone would hold its requests up."""
+"""A machine with a slower link is no relay: the rows for a whole zone would delay its requests."""
 
 
 def relay_capacity(cores: float, link_mbit: float) -> float:
@@ -39,28 +42,28 @@
 
 
 CUT_OFF_S = 0.5
-"""After a trouble the store leaves a process without an answer for so long before another gateway
-stands in: a slow store answers sooner, and the next call or two make up for a lost answer."""
+"""Time without a response of the store after which another gateway is asked instead. A slow store
+responds sooner, and the next call or two make up for a lost response."""
 
 MIN_ZONE_GATEWAYS = 3
-"""In a small group a relay is asked only where it stands for so many gateways of its zone, itself
-included: it probes the store three times as often as one that asks for itself alone, and for two
-it would save nothing."""
+"""Least number of gateways in a zone, the relay included, for which a small group uses a relay. A
+relay probes the store three times as often as a gateway that reads for itself alone, so for two it
+would save nothing."""
 
 
 class RelaySelector:
-    """The strongest gateway of the zone that is heard and does not lead; ties go by name.
+    """Selects the live gateway of the zone with the most capacity that does not lead.
 
-    Nobody appoints a relay: each process chooses by itself, and whoever is asked answers. Two
-    relays at once, or none, cost calls and nothing else.
+    Ties are decided by name. There is no election: each process selects for itself, and any gateway
+    serves the requests that it gets. Two relays at once, or none, only cost calls to the store.
 
-    Where the store turns this process away while it serves others, any gateway that is heard may
-    stand in, the relays of other zones first.
+    If the store refuses this process while it serves others, any live gateway may substitute for
+    it, the relays of other zones first.
 
     :param capacity: of this process's machine, see `relay_capacity`.
-    :param leader_node: returns the node that leads the control group; it asks the store itself,
-        but for tables of large rows where its link is slow.
-    :param lost_for_s: returns for how long the store has left this process without answers.
+    :param leader_node: returns the node that leads the control group. It reads the store directly,
+        except for tables of large rows if its link is slow.
+    :param lost_for_s: returns for how long the store has not responded to this process.
     """
 
     def __init__(
@@ -86,22 +89,23 @@
         self._asked_s = float("-inf")
 
     def relay(self) -> PeerAddress | None:
-        """Return the gateway to ask; None: ask the store."""
+        """Return the relay to use; None: read the store directly."""
         if self.is_leading():
             return None
         relay = self._zone_relay()
-        if relay is None and (self._is_cut_off() or self._leaves_store_to_stronger()):
-            return self._stand_in()
+        if relay is None and (self._is_cut_off() or self._prefers_relays_to_store()):
+            return self._substitute()
         return relay
 
     def relay_for_large_rows(self, asked: Collection[str]) -> PeerAddress | None:
-        """Return the gateway to ask for a table of large rows; None: ask the store.
+        """Return the relay to use for a table of large rows; None: read the store directly.
 
-        On a slow link the store is the last resort, since its answer is ten times as large. There a
-        relay that failed lately is asked again after the others, as long as it is heard: perhaps
-        our own link was full. A leader asks relays, too; what they say proves nothing for it.
+        On a slow link the store is the last resort, since its response is ten times as large. A
+        relay that failed recently is then tried after the others, as long as it is live: the
+        failure may come from our own full link. A leader uses relays, too, but their responses are
+        no proof of its leadership.
 
-        :param asked: gateways that have been asked for this already.
+        :param asked: gateways that were tried for this read already.
         """
         if not self.has_slow_link():
             relay = self.relay()
@@ -117,34 +121,33 @@
         return self._has_failed(peer), peer.zone != self._zone, peer.rank()
 
     def has_slow_link(self) -> bool:
-        """Tell whether the link of this machine is too slow for a relay."""
+        """Return whether the link of this machine is too slow for a relay."""
         return self._capacity == 0
 
     def is_leading(self) -> bool:
-        """Tell whether this process leads."""
+        """Return whether this process leads."""
         return self._leader_node() == self._node
 
     def _is_cut_off(self) -> bool:
-        """Tell whether the store leaves this process without answers."""
+        """Return whether the store does not respond to this process."""
         return self._lost_for_s() > CUT_OFF_S
 
-    def _leaves_store_to_stronger(self) -> bool:
-        """Tell whether this is one of many gateways that ask stronger ones in place of the store.
+    def _prefers_relays_to_store(self) -> bool:
+        """Return whether this gateway of a large group uses other zones' relays before the store.
 
-        Where the store turns the strongest gateways of its zone away, or there are none, the whole
-        zone would else ask the store itself: 50 of 78 gateways made 1,660 calls in 8 s, counted by
-        a log line for each call.
+        If the store refuses the relays of a zone, or the zone has none, the whole zone would
+        otherwise read the store directly: 50 of 78 gateways made 1,660 calls in 8 s.
         """
         return self._directory.has_many() and self.has_slow_link()
 
     def _zone_relay(self) -> PeerAddress | None:
-        """Return the relay of the own zone, if it has one and that did not fail lately.
+        """Return the relay of the own zone, if it has one that did not fail recently.
 
-        In a large group the next strongest is asked while the strongest has failed.
+        In a large group the candidate with the next most capacity replaces one that failed.
         """
         in_zone = (each for each in self._directory.others() if each.zone == self._zone)
         candidates = [each for each in in_zone if self._is_candidate(each)]
-        if not candidates or not self._is_worth_it(len(candidates)):
+        if not candidates or not self._saves_calls(len(candidates)):
             return None
         if self._directory.has_many():
             candidates = [each for each in candidates if not self._has_failed(each)]
@@ -153,11 +156,12 @@
             return None
         return None if self._has_failed(strongest) else strongest
 
-    def _stand_in(self) -> PeerAddress | None:
-        """Return whom to ask where neither the store nor a relay of the own zone answers.
+    def _substitute(self) -> PeerAddress | None:
+        """Return a gateway to use if neither the store nor a relay of the own zone responds.
 
-        The strongest of each zone go first: as relays these have asked the store most lately. One
-        that is cut off itself says so at once and is left alone like any that failed.
+        The gateways with the most capacity in each zone come first: as relays they have the newest
+        responses of the store. One that is cut off itself refuses at once and is skipped for a
+        while, like any that failed.
         """
         candidates = [each for each in self._directory.others() if self._is_candidate(each)]
         rank_in_zone: dict[str, int] = {}
@@ -171,26 +175,26 @@
         return chosen
 
     def gateway_count(self) -> int:
-        """Return the number of gateways that are known, this one included."""
+        """Return the number of known gateways, this one included."""
         return 1 + self._directory.count_others()
 
     def record_failure(self, node: str) -> None:
-        """Leave a relay alone for a while."""
+        """Do not select a relay for a while, after it failed."""
         self._failed_until_s[node] = self._clock.now() + FAILED_S
 
     def record_unavailable(self, node: str) -> None:
-        """Leave alone for a moment a gateway that asks another one itself.
+        """Do not select a gateway for a moment that reads through another one itself.
 
-        Where the strongest of a zone has failed, the next one finds so a little later than others.
+        When the relay of a zone has failed, its successor may detect that later than others.
         """
         self._failed_until_s[node] = self._clock.now() + ASKS_ANOTHER_S
 
     def record_request(self) -> None:
-        """Take note that another gateway asked this one."""
+        """Record that another gateway sent a request to this one."""
         self._asked_s = self._clock.now()
 
     def is_acting(self) -> bool:
-        """Tell whether other gateways rely on this one."""
+        """Return whether other gateways use this one as relay."""
         return self._clock.now() - self._asked_s < ASKED_S
 
     def probe_wait_s(self) -> float:
@@ -198,10 +202,10 @@
         return RELAY_PROBE_WAIT_S if self.is_relayed() else PROBE_WAIT_S
 
     def is_relayed(self) -> bool:
-        """Tell whether this process is a relay or asks one."""
+        """Return whether this process is a relay or uses one."""
         return self.is_acting() or self.relay() is not None
 
-    def _is_worth_it(self, candidate_count: int) -> bool:
+    def _saves_calls(self, candidate_count: int) -> bool:
         return self._directory.has_many() or candidate_count + 1 >= MIN_ZONE_GATEWAYS
 
     def _has_failed(self, peer: PeerAddress) -> bool:
