--- a/indigoworks/exchange/__init__.py
+++ b/indigoworks/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between gateways: beats of the leader, load of servers, sampled keys."""
+"""Reports between gateways, as datagrams: heartbeats of the leader, server load, sampled keys."""
--- a/indigoworks/exchange/datagram_endpoint.py
+++ b/indigoworks/exchange/datagram_endpoint.py
@@ -1,4 +1,4 @@
-"""One UDP socket."""
+"""UDP socket on the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """Sends datagrams, and hands on those that arrive.
+    """Sends datagrams and passes received ones to a callback.
 
     :param on_datagram: called with the bytes of each datagram and the address that sent it.
     """
@@ -29,7 +29,7 @@
         )
 
     def send(self, datagram: bytes, address: Address) -> None:
-        """Send a datagram; nothing is sent before the socket is open."""
+        """Send a datagram; dropped while the socket is not open."""
         if self._transport is not None:
             self._transport.sendto(datagram, (address.host, address.port))
 
@@ -43,12 +43,12 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a datagram on; called by the event loop."""
+        """Pass a datagram to the callback; called by the event loop."""
         self._on_datagram(data, Address(addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over errors of single datagrams: peers come and go."""
+        """Ignore errors of single datagrams: peers come and go."""
 
 
 OpenDatagrams = Callable[[Address, Callable[[bytes, Address], None]], DatagramEndpoint]
-"""Makes a socket that is not yet bound, as `DatagramEndpoint` does; the simulation has its own."""
+"""Creates an unbound socket, as `DatagramEndpoint` does; the simulation has its own."""
--- a/indigoworks/exchange/datagram_exchange.py
+++ b/indigoworks/exchange/datagram_exchange.py
@@ -1,4 +1,4 @@
-"""Reports as datagrams."""
+"""Exchanges reports with peers over UDP."""
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
@@ -7,9 +7,9 @@
 
 
 class DatagramExchange:
-    """Sends reports over a socket of its own, and takes those of peers.
+    """Sends reports over a socket of its own, and receives those of peers.
 
-    :ivar sender: says what goes out when, and takes what peers send; set before the socket opens.
+    :ivar sender: schedules the reports and handles received datagrams; set before the socket opens.
     """
 
     sender: ReportSender
@@ -34,7 +34,7 @@
             self.sender.send_if_due()
 
     def send(self, datagram: bytes, address: Address) -> None:
-        """Send a datagram; nothing is sent before the socket is open."""
+        """Send a datagram; dropped while the socket is not open."""
         self._port.send(datagram, address)
 
     def close(self) -> None:
--- a/indigoworks/exchange/hub_aggregation.py
+++ b/indigoworks/exchange/hub_aggregation.py
@@ -1,4 +1,4 @@
-"""What a hub reports in place of those that it sums up."""
+"""Aggregates the reports of a hub's members into one."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
@@ -9,10 +9,10 @@
 
 
 def aggregate_reports(own: PeerReport, members: Sequence[AgedReport]) -> PeerReport:
-    """Return the report of a hub.
+    """Return the report of a hub in place of its members' reports.
 
-    Loads are summed up; the age of the beat and the versions are the best of all. Every number
-    stays true of someone: what the hub itself cannot reach, a member may.
+    Loads are added up; the age of the heartbeat and the versions are the best of all. Each of these
+    is true of the hub or of one of its members.
     """
     reports = [own, *(each.report for each in members)]
     beat_ages_s = [own.beat_age_s]
@@ -26,17 +26,17 @@
         configuration_version=max(each.configuration_version for each in reports),
         group_version=max(each.group_version for each in reports),
         operator_row_version=max(each.operator_row_version for each in reports),
-        notices=merge_notices((*own.notices, *_aged_notes(members))),
+        notices=merge_notices((*own.notices, *_aged_notices(members))),
         members=tuple((node_checksum(each.report.node), each.report.sequence) for each in members),
     )
 
 
-def _aged_notes(members: Sequence[AgedReport]) -> Iterable[SharedNotice]:
-    return (note.aged(each.age_s) for each in members for note in each.report.notices)
+def _aged_notices(members: Sequence[AgedReport]) -> Iterable[SharedNotice]:
+    return (notice.aged(each.age_s) for each in members for notice in each.report.notices)
 
 
 def _sum_loads(reports: Iterable[PeerReport]) -> tuple[ServerLoad, ...]:
-    """Return the sum of requests in flight and the mean of the measured times of each server."""
+    """Return each server's total of requests in flight and the mean of its service times."""
     in_flight: dict[int, int] = {}
     times_s: dict[int, list[float]] = {}
     for report in reports:
--- a/indigoworks/exchange/hub_selector.py
+++ b/indigoworks/exchange/hub_selector.py
@@ -1,4 +1,7 @@
-"""Which gateway of the zone sums up the reports of a process, if any."""
+"""Selects the hub: the gateway of the zone that aggregates the reports of a process, if any.
+
+A hub sends one report in place of its members' reports, which saves datagrams in large groups.
+"""
 
 from collections.abc import Callable
 
@@ -10,27 +13,27 @@
 from indigoworks.exchange.peer_table import PeerTable
 
 COVERED_S = 0.5
-"""A hub that has not listed this process for so long is left: from then on it reports to each."""
+"""Time after which a process leaves a hub that has not listed it, and reports to each peer."""
 
 SETTLED_S = 0.4
-"""Sums take at most so long to everyone; until then a process reports to each as well: for a moment
-it counts twice, but never not at all."""
+"""Longest time until a hub's aggregate has reached all peers. Until then a process also reports to
+each peer: for a moment its load counts twice, but it is never missing."""
 
 FAILED_S = 3.0
-"""A hub that was left is not tried again for so long."""
+"""Time for which a hub that failed is not selected again."""
 
 LED_S = 20.0
-"""A process that led reports to each for so long: its successor waits for its sign that it follows
-a later epoch."""
+"""Time for which a former leader reports to each peer: its successor waits for its report that it
+follows a later epoch."""
 
 
 class HubSelector:
-    """The strongest gateway of the zone that is heard and does not lead; ties go by name.
+    """Selects the live gateway of the zone with the most capacity that does not lead.
 
-    Nobody appoints a hub: whoever reports to a gateway is summed up by it. Two hubs in a zone cost
-    datagrams and nothing else, since each sums up those who chose it.
+    Ties are decided by name. There is no election: a gateway aggregates the reports of those that
+    selected it. Two hubs in a zone only cost datagrams, since each aggregates its own members.
 
-    :param capacity: what this machine offers as hub; 0: it is none.
+    :param capacity: capacity of this machine as hub; 0: it is none.
     :param leader_node: returns the node that leads the control group.
     """
 
@@ -58,11 +61,11 @@
         self._failed_until_s: dict[str, float] = {}
 
     def choose(self) -> PeerAddress | None:
-        """Return the gateway to report to; None: report to each. Called before each sending."""
+        """Return the hub to report to; None: report to each peer. Called before each report."""
         now_s = self._clock.now()
         if self._leader_node() == self._node:
             self._led_s = now_s
-        self._leave_silent_hub(now_s)
+        self._leave_failed_hub(now_s)
         hub = self._strongest(now_s) if self._may_join() else None
         name = "" if hub is None else hub.node
         if name != self._hub:
@@ -74,22 +77,22 @@
         return hub
 
     def is_settled(self) -> bool:
-        """Tell whether the hub's sums, with this process, have reached everyone by now."""
+        """Return whether the hub's aggregate with this process has reached all peers by now."""
         return self.is_covered() and self._clock.now() - self._uncovered_s > SETTLED_S
 
     def is_covered(self) -> bool:
-        """Tell whether the chosen hub has just said that it sums this process up."""
+        """Return whether the selected hub recently listed this process as a member."""
         listed_s = self._table.covered_time_s(self._hub)
         return bool(self._hub) and listed_s is not None and self._is_recent(listed_s)
 
     def has_led(self) -> bool:
-        """Tell whether this process leads, or led a moment ago."""
+        """Return whether this process leads, or led within LED_S."""
         return self._clock.now() - self._led_s <= LED_S
 
     def _may_join(self) -> bool:
         return self._directory.has_many() and not self.has_led() and not self._table.has_members()
 
-    def _leave_silent_hub(self, now_s: float) -> None:
+    def _leave_failed_hub(self, now_s: float) -> None:
         if self._hub and not self.is_covered() and not self._is_recent(self._chosen_s):
             self._failed_until_s[self._hub] = now_s + FAILED_S
             log_message(message_type="hub:failed", level="WARNING", hub=self._hub)
@@ -102,12 +105,12 @@
             if each.zone == self._zone and each.capacity > 0 and each.rank() < own_rank
         ]
         return min(
-            (each for each in candidates if self._may_be(each, now_s)),
+            (each for each in candidates if self._is_eligible(each, now_s)),
             key=PeerAddress.rank,
             default=None,
         )
 
-    def _may_be(self, peer: PeerAddress, now_s: float) -> bool:
+    def _is_eligible(self, peer: PeerAddress, now_s: float) -> bool:
         if peer.node == self._leader_node() or now_s < self._failed_until_s.get(peer.node, 0.0):
             return False
         heard_s = self._table.heard_time_s(peer.node)
--- a/indigoworks/exchange/key_sample.py
+++ b/indigoworks/exchange/key_sample.py
@@ -1,4 +1,4 @@
-"""Keys that were asked for."""
+"""Sample of the keys of requests."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 class KeySample:
     """Sampled keys of one service since the last report.
 
-    :ivar total: requests of the service in that time; `keys` may hold fewer.
+    :ivar total: number of requests of the service in that time; `keys` may hold fewer.
     """
 
     service: str
--- a/indigoworks/exchange/lag_monitor.py
+++ b/indigoworks/exchange/lag_monitor.py
@@ -1,4 +1,4 @@
-"""Notices that a peer knows newer rows than this process."""
+"""Detects that a peer has newer rows than this process."""
 
 from collections.abc import Callable
 
@@ -7,21 +7,21 @@
 from indigoworks.common.clock import Clock
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
-PATIENCE_S = 0.4
-"""Feeds reach processes at slightly different times: so much lag says nothing."""
+INITIAL_LAG_LIMIT_S = 0.4
+"""Lag that is tolerated at first: feeds reach processes at slightly different times."""
 
-PATIENCE_FACTOR = 2.0
-"""A feed that was asked anew has so many times as long: a slow store must get to answer."""
+LAG_LIMIT_GROWTH = 2.0
+"""Growth of the tolerated lag with each requested reread, so that a slow store can respond."""
 
-MAX_PATIENCE_S = 4.0
+MAX_LAG_LIMIT_S = 4.0
 
 
 class LagMonitor:
-    """Asks a feed anew when a peer has been ahead for too long: an answer to it may be lost.
+    """Requests a reread when a peer has been ahead for too long: a feed response may be lost.
 
-    :param what: name of what is followed, for the log.
+    :param what: name of the followed data, for the log.
     :param own_version: returns the newest version that this process has.
-    :param ask_anew: asks the store anew, since the feed's answer may be lost or long in coming.
+    :param request_reread: reads the rows again, since the feed's response may be lost or slow.
     """
 
     def __init__(
@@ -33,14 +33,14 @@
     ) -> None:
         self._what = what
         self._own_version = own_version
-        self._ask_anew = request_reread
+        self._request_reread = request_reread
         self._clock = clock
         self._behind_since_s: float | None = None
         self._behind_version = NO_VERSION
-        self._patience_s = PATIENCE_S
+        self._lag_limit_s = INITIAL_LAG_LIMIT_S
 
     def record_version(self, peer: str, version: StoreVersion) -> None:
-        """Take the version that a peer says it has."""
+        """Record the version that a peer reports."""
         own_version = self._own_version()
         if version <= own_version:
             return
@@ -48,10 +48,10 @@
         if self._behind_since_s is None or self._behind_version != own_version:
             self._behind_since_s = now_s
             self._behind_version = own_version
-            self._patience_s = PATIENCE_S
-        elif now_s - self._behind_since_s > self._patience_s:
+            self._lag_limit_s = INITIAL_LAG_LIMIT_S
+        elif now_s - self._behind_since_s > self._lag_limit_s:
             self._behind_since_s = now_s
-            self._patience_s = min(self._patience_s * PATIENCE_FACTOR, MAX_PATIENCE_S)
+            self._lag_limit_s = min(self._lag_limit_s * LAG_LIMIT_GROWTH, MAX_LAG_LIMIT_S)
             log_message(
                 message_type="feed:behind",
                 level="WARNING",
@@ -60,4 +60,4 @@
                 peer=peer,
                 peer_version=str(version),
             )
-            self._ask_anew()
+            self._request_reread()
--- a/indigoworks/exchange/leader_beat.py
+++ b/indigoworks/exchange/leader_beat.py
@@ -1,4 +1,4 @@
-"""What a leader tells its peers."""
+"""Heartbeat of a leader to its peers, called its beat."""
 
 from dataclasses import dataclass
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderBeat:
-    """A sign of life of a leader.
+    """A heartbeat of a leader.
 
-    :ivar proof_age_s: age of its last proof of leadership when it was sent.
-    :ivar hold_s: how long any of its grants may still hold, those included that a server has not
-        answered and may take late.
-    :ivar silent_servers: ids of servers that left an order unanswered and have not answered since.
-    :ivar earlier_hold_s: the same of grants of the leaders before it, as far as it knows.
+    :ivar proof_age_s: age of the last proof of leadership when the beat was sent.
+    :ivar hold_s: longest time for which any of its grants may still hold, including those that a
+        server has not answered and may apply late.
+    :ivar silent_servers: ids of servers that did not answer an order, nor a later one since.
+    :ivar earlier_hold_s: `hold_s` for grants of earlier leaders, as far as this one knows.
     """
 
     epoch: int
--- a/indigoworks/exchange/load_view.py
+++ b/indigoworks/exchange/load_view.py
@@ -1,15 +1,15 @@
-"""What is known of the load that others put on servers."""
+"""Load that other gateways put on servers."""
 
 from typing import Protocol
 
 
 class LoadView(Protocol):
-    """Requests in flight and times of requests, as others than the asker know them."""
+    """Requests in flight and service times, as other gateways report them."""
 
     def in_flight(self, server_id: str) -> int:
-        """Return the requests in flight to a server, without those of the asker itself."""
+        """Return the requests in flight to a server from other gateways."""
         ...
 
     def service_s(self, server_id: str) -> float | None:
-        """Return the seconds that a request takes at a server as others measured it; None: none."""
+        """Return the service time of a request at a server as others measured it; None: unknown."""
         ...
--- a/indigoworks/exchange/member_list.py
+++ b/indigoworks/exchange/member_list.py
@@ -1,4 +1,4 @@
-"""Which gateways hubs sum up."""
+"""Members of the hubs: the gateways whose reports hubs aggregate."""
 
 from collections.abc import Iterable
 
@@ -7,13 +7,13 @@
 from indigoworks.exchange.server_load import ServerLoad
 
 REMEMBERED_REPORTS = 64
-"""Own reports that are remembered: more than a process sends while a hub's sums count."""
+"""Number of own reports kept: more than a process sends while a hub's aggregate is live."""
 
 
 class MemberList:
-    """Members as the hubs list them; of this process also which report the hub's sums hold.
+    """Members as the hubs list them, and which own report a hub's aggregate includes.
 
-    :param live_s: a list counts for so long.
+    :param live_s: time for which a hub's list counts.
     """
 
     def __init__(self, own_node: str, clock: Clock, live_s: float) -> None:
@@ -25,13 +25,13 @@
         self._sent: dict[int, tuple[float, tuple[ServerLoad, ...]]] = {}
 
     def record_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
-        """Remember a report to a hub."""
+        """Record a report that was sent to a hub."""
         self._sent[sequence] = self._clock.now(), loads
         while len(self._sent) > REMEMBERED_REPORTS:
             del self._sent[next(iter(self._sent))]
 
     def record_report(self, report: PeerReport, age_s: float) -> tuple[ServerLoad, ...]:
-        """Take a newer report; return what of this process is in its sums."""
+        """Record a newer report; return the loads of this process that it includes."""
         at_s = self._clock.now() - age_s
         own_loads: tuple[ServerLoad, ...] = ()
         for member, sequence in report.members:
@@ -43,9 +43,9 @@
         return own_loads
 
     def covered_time_s(self, hub: str) -> float | None:
-        """Return when the newest own report was sent that is in the sums `hub` itself sent here.
+        """Return when the newest own report was sent that a report of `hub` itself includes.
 
-        None: there is none. So a link that is cut in either direction shows.
+        None: there is none. A link that is cut in either direction shows by this.
         """
         return self._covered_s.get(hub)
 
@@ -54,7 +54,7 @@
         return self._listed_s.get(node_checksum(node))
 
     def is_listed(self, node: str) -> bool:
-        """Tell whether `node` was listed of late."""
+        """Return whether a hub listed `node` recently."""
         return self._is_live(node_checksum(node))
 
     def count_live(self, heard: Iterable[str]) -> int:
--- a/indigoworks/exchange/notice_codec.py
+++ b/indigoworks/exchange/notice_codec.py
@@ -1,4 +1,4 @@
-"""Notes of servers' wishes as messages."""
+"""Encodes and decodes shared notices as protobuf messages."""
 
 from indigoworks.common.limit_word import LimitWord
 from indigoworks.exchange.exchange_pb2 import LimitMessage, NoticeMessage
@@ -8,36 +8,36 @@
 MAX_AGE_MS = 2**32 - 1
 
 
-def to_message(note: SharedNotice) -> NoticeMessage:
-    """Return the message of a note."""
+def to_message(notice: SharedNotice) -> NoticeMessage:
+    """Encode a notice."""
     return NoticeMessage(
-        server=note.server,
-        rest_left_ms=round(max(0.0, note.rest_left_s) * MS_PER_S),
-        tellers=note.reporters,
-        is_leaving=note.is_leaving,
-        limit=None if note.limit is None else _limit_message(note.limit),
+        server=notice.server,
+        rest_left_ms=round(max(0.0, notice.rest_left_s) * MS_PER_S),
+        tellers=notice.reporters,
+        is_leaving=notice.is_leaving,
+        limit=None if notice.limit is None else _encode_limit(notice.limit),
     )
 
 
 def from_message(message: NoticeMessage) -> SharedNotice:
-    """Return the note of a message."""
+    """Decode a notice."""
     return SharedNotice(
         message.server,
         message.rest_left_ms / MS_PER_S,
         tuple(message.tellers),
         message.is_leaving,
-        _limit_word(message.limit) if message.HasField("limit") else None,
+        _decode_limit(message.limit) if message.HasField("limit") else None,
     )
 
 
-def _limit_message(word: LimitWord) -> LimitMessage:
+def _encode_limit(limit: LimitWord) -> LimitMessage:
     return LimitMessage(
-        per_s=word.per_s or 0.0,
-        is_ended=word.per_s is None,
-        age_ms=min(MAX_AGE_MS, round(word.age_s * MS_PER_S)),
+        per_s=limit.per_s or 0.0,
+        is_ended=limit.per_s is None,
+        age_ms=min(MAX_AGE_MS, round(limit.age_s * MS_PER_S)),
     )
 
 
-def _limit_word(message: LimitMessage) -> LimitWord:
+def _decode_limit(message: LimitMessage) -> LimitWord:
     per_s = None if message.is_ended else max(0.0, message.per_s)
     return LimitWord(per_s, message.age_ms / MS_PER_S)
--- a/indigoworks/exchange/partition_monitor.py
+++ b/indigoworks/exchange/partition_monitor.py
@@ -1,4 +1,4 @@
-"""Whether members of the group may not hear this process."""
+"""Detects that this process may be cut off from members of the group."""
 
 from collections.abc import Iterable
 
@@ -8,26 +8,26 @@
 from indigoworks.rowstore.row import Row
 
 HEARD_S = 0.5
-"""A member must have been heard within this time."""
+"""Time without a report after which a member counts as missing."""
 
 HEARD_OF_MANY_S = 1.0
-"""The same in a group that is large enough for hubs: before it has them, and where they fail, its
-gateways report each 0.6 s."""
+"""The same in a group that is large enough for hubs: without them, at first and when they fail, its
+gateways report every 0.6 s."""
 
 GONE_S = 600.0
-"""A member that has been silent for longer has left for good: rows of machines that left stay in
-the store."""
+"""Time without a report after which a member counts as removed: the rows of machines that left stay
+in the store."""
 
 
-KEPT_S = 0.1
-"""A share is used again for so long: it takes a look at each member."""
+SHARE_CACHE_S = 0.1
+"""Time for which a computed share is reused, since it takes a check of each member."""
 
 
 class PartitionMonitor:
-    """Compares the members that the store lists with those that are heard.
+    """Compares the members that the store lists with those whose reports arrive.
 
-    What the members keep together by messages alone has no sum while it says so: each part of a cut
-    group has a keeper of its own.
+    While a member is missing, state that the members keep together by messages alone has no valid
+    total: each side of a partition has a keeper of its own.
     """
 
     def __init__(self, directory: PeerDirectory, peers: PeerView, clock: Clock) -> None:
@@ -39,7 +39,7 @@
         self._share_until_s = float("-inf")
 
     def apply_rows(self, rows: Iterable[Row]) -> None:
-        """Take note of when members were listed first; the directory has taken the rows already."""
+        """Record when members were first listed; the directory must have applied the rows."""
         if not any(row.key.startswith(PEER_PREFIX) for row in rows):
             return
         now_s = self._clock.now()
@@ -47,23 +47,23 @@
         self._listed_s = {each: self._listed_s.get(each, now_s) for each in nodes}
 
     def is_partitioned(self) -> bool:
-        """Tell whether a member is not heard that may still run."""
-        return any(self._is_missed(each) for each in self._listed_s)
+        """Return whether a member is missing that may still run."""
+        return any(self._is_missing(each) for each in self._listed_s)
 
     def heard_share(self) -> float:
-        """Return the share of the members that may run which are heard, this process included."""
+        """Return which share of the members that may run is heard, this process included."""
         now_s = self._clock.now()
         if now_s >= self._share_until_s:
-            self._share_until_s = now_s + KEPT_S
-            missed = sum(map(self._is_missed, self._listed_s))
+            self._share_until_s = now_s + SHARE_CACHE_S
+            missing = sum(map(self._is_missing, self._listed_s))
             gone = sum(self._silence_s(each) >= GONE_S for each in self._listed_s)
             members = 1 + len(self._listed_s) - gone
-            self._share = (members - missed) / members
+            self._share = (members - missing) / members
         return self._share
 
-    def _is_missed(self, node: str) -> bool:
-        within_s = HEARD_OF_MANY_S if self._directory.has_many() else HEARD_S
-        return within_s < self._silence_s(node) < GONE_S
+    def _is_missing(self, node: str) -> bool:
+        max_silence_s = HEARD_OF_MANY_S if self._directory.has_many() else HEARD_S
+        return max_silence_s < self._silence_s(node) < GONE_S
 
     def _silence_s(self, node: str) -> float:
         heard_s = self._peers.heard_time_s(node)
--- a/indigoworks/exchange/peer_address.py
+++ b/indigoworks/exchange/peer_address.py
@@ -1,4 +1,4 @@
-"""Where a peer receives datagrams."""
+"""Address and capacity of a peer."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 
 
 def strength_rank(capacity: float, node: str) -> tuple[float, str]:
-    """Return what sorts gateways by the capacity of their machines, the strongest first."""
+    """Return a sort key of gateways: the largest capacity first, then by name."""
     return -capacity, node
 
 
@@ -14,8 +14,8 @@
 class PeerAddress:
     """Address and boot of one gateway; `zone` is that of its machine.
 
-    :ivar address: UDP for reports, TCP for questions to a relay.
-    :ivar capacity: what its machine offers as relay, in processor cores; 0: it is none.
+    :ivar address: UDP for reports, TCP for requests to a relay.
+    :ivar capacity: capacity of its machine as hub or relay, in processor cores; 0: it is neither.
     """
 
     node: str
@@ -25,5 +25,5 @@
     capacity: float = 1.0
 
     def rank(self) -> tuple[float, str]:
-        """Return what sorts gateways, the strongest first; ties go by name."""
+        """Return the sort key of this gateway; see `strength_rank`."""
         return strength_rank(self.capacity, self.node)
--- a/indigoworks/exchange/peer_directory.py
+++ b/indigoworks/exchange/peer_directory.py
@@ -1,4 +1,4 @@
-"""Addresses of the gateways, from their rows in the store."""
+"""Directory of the gateways, built from their rows in the store."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -9,14 +9,14 @@
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
 DIRECT_GATEWAYS = 16
-"""Up to so many gateways each reports to each: a hub would only be one more thing that can fail."""
+"""Largest group in which each gateway reports to each: there a hub only adds a point of failure."""
 
 PEER_PREFIX = "peer/"
-"""Keys of the rows that name gateways, before the name of the node."""
+"""Prefix of the keys of gateways' rows, before the name of the node."""
 
 
 class PeerDirectory:
-    """Every process writes one row at its start; rows of machines that left stay behind."""
+    """Gateways by node. Each process writes its row at its start; rows of removed machines stay."""
 
     def __init__(self, own_node: str) -> None:
         self._own_node = own_node
@@ -24,7 +24,7 @@
         self._versions: dict[str, StoreVersion] = {}
 
     def apply(self, rows: Sequence[Row]) -> None:
-        """Take rows; those of other kinds are passed over."""
+        """Apply rows of gateways; other rows are ignored."""
         for row in rows:
             if not row.key.startswith(PEER_PREFIX):
                 continue
@@ -43,11 +43,11 @@
         return len(self._peers) - (self._own_node in self._peers)
 
     def has_many(self) -> bool:
-        """Tell whether there are so many gateways that each zone acts through a hub and a relay."""
+        """Return whether the group is large enough that each zone uses a hub and a relay."""
         return 1 + self.count_others() > DIRECT_GATEWAYS
 
     def has_any(self) -> bool:
-        """Tell whether any gateway is known, this one included."""
+        """Return whether any gateway is known, this one included."""
         return bool(self._peers)
 
     def get(self, node: str) -> PeerAddress | None:
@@ -55,7 +55,7 @@
         return self._peers.get(node)
 
     def boot_of(self, node: str) -> str | None:
-        """Return the newest boot of a node that the store knows."""
+        """Return the newest boot of a node according to the store; None: it is not known."""
         peer = self._peers.get(node)
         return None if peer is None else peer.boot
 
--- a/indigoworks/exchange/peer_report.py
+++ b/indigoworks/exchange/peer_report.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its peers."""
+"""Report of a gateway to its peers."""
 
 import zlib
 from dataclasses import dataclass
@@ -14,23 +14,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What one gateway tells its peers.
+    """State of one gateway, as it reports it to its peers.
 
     :ivar sequence: grows with each report of one boot; older ones are dropped.
-    :ivar epoch: of the leader that it follows; 0 where it knows none.
-    :ivar beat_age_s: age of the newest beat of that epoch that it heard itself; infinity: none.
-    :ivar leader: where it leads.
-    :ivar loads: of all servers with requests in flight; of a hub: its own and those of its members.
-    :ivar retry_count: repeats it sent in the last second, by all services together.
+    :ivar epoch: epoch of the leader that it follows; 0: it knows none.
+    :ivar beat_age_s: age of the newest beat of that epoch that it received itself; infinity: none.
+    :ivar leader: its beat, if it leads.
+    :ivar loads: load on servers with requests in flight; of a hub: with its members' loads.
+    :ivar retry_count: retries it sent in the last second, over all services.
     :ivar configuration_version: version of the configuration in force there; 0: none.
     :ivar operator_row_version: version of the newest row of the operator that it has applied: its
         configuration or an evacuation.
     :ivar group_version: version of the newest row of the group that it has applied.
-    :ivar hub: the gateway that sums this report up; empty: none.
-    :ivar is_joining: the hub is to list this process, and to leave its loads out of the sums yet.
-    :ivar suspects: requests under which servers ended, of those that the sender knows.
-    :ivar notices: what servers asked the sender for, or those whom it sums up.
-    :ivar members: checksum of each gateway that is summed up here, and the sequence of its report.
+    :ivar hub: the gateway that aggregates this report; empty: none.
+    :ivar is_joining: the hub is to list this process, but not to add up its loads yet.
+    :ivar suspects: known requests under which servers crashed.
+    :ivar notices: what servers asked of the sender, or of its members.
+    :ivar members: checksum of each gateway that is aggregated here, and its report's sequence.
     """
 
     node: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgedReport:
-    """A report and the time since it arrived where it was received first, in seconds."""
+    """A report, and the time in seconds since its first receiver got it."""
 
     report: PeerReport
     age_s: float
@@ -62,5 +62,5 @@
 
 @lru_cache(maxsize=4096)
 def node_checksum(node: str) -> int:
-    """Return the 32 bits that stand for a gateway among the members of a hub."""
+    """Return the 32-bit checksum that identifies a gateway among the members of a hub."""
     return zlib.crc32(node.encode())
--- a/indigoworks/exchange/peer_table.py
+++ b/indigoworks/exchange/peer_table.py
@@ -1,4 +1,4 @@
-"""Newest reports of the peers."""
+"""Table of the peers' newest reports."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,20 +11,20 @@
 from indigoworks.exchange.server_load import ServerLoad, server_checksum
 
 LIVE_S = 1.0
-"""A peer counts as live while its newest report is younger."""
+"""Age of its newest report up to which a peer counts as live."""
 
 SILENT_MEMORY_S = 600.0
-"""A peer that has been silent for longer has left for good. An estimate."""
+"""Time without a report after which a peer counts as removed."""
 
 MAX_SAMPLES = 2000
-"""Samples that wait to be taken; older ones are dropped first."""
+"""Largest number of samples kept until they are drained; the oldest are dropped first."""
 
 
 class PeerTable:
-    """Implements `PeerView` from the datagrams that arrived.
+    """Implements `PeerView` from received reports.
 
-    :param own_node: of this process; empty: it is never summed up by a hub.
-    :ivar on_heard: called when a peer is heard that was not, or no more.
+    :param own_node: node of this process; empty: no hub ever aggregates its reports.
+    :ivar on_heard: called when a peer becomes live.
     """
 
     def __init__(self, clock: Clock, own_node: str = "") -> None:
@@ -41,9 +41,9 @@
         self.on_heard: Callable[[], None] = _nothing
 
     def record_report(self, report: PeerReport, age_s: float = 0.0) -> bool:
-        """Take a report; False where a newer one of the same boot is known.
+        """Record a report; False if it is not newer than the known one of the same boot.
 
-        :param age_s: how long ago it arrived at who handed it on.
+        :param age_s: time since the gateway that forwarded it received it.
         """
         if report.node == self._own_node or age_s > LIVE_S:
             return False
@@ -57,10 +57,10 @@
         own_loads = self._list.record_report(report, age_s)
         self._reports[report.node] = report
         self._times_s[report.node] = self._clock.now() - age_s
-        self._count(report, own_loads)
+        self._add_counts(report, own_loads)
         if report.hub and known is not None and not known.hub:
             self._forget_times(report.node)
-        self._note_times(report)
+        self._record_times(report)
         self.add_samples(report.samples)
         if self._is_member(report):
             self._member_samples.extend(report.samples)
@@ -68,16 +68,16 @@
         return True
 
     def record_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
-        """Remember what this process told its hub: the hub's sums hold it."""
+        """Record a report of this process to its hub, since the hub's aggregate includes it."""
         self._list.record_sent(sequence, loads)
 
     def add_samples(self, samples: Iterable[KeySample]) -> None:
-        """Keep samples until they are taken."""
+        """Keep samples until they are drained."""
         self._samples.extend(samples)
         del self._samples[:-MAX_SAMPLES]
 
     def drop_silent(self) -> None:
-        """Forget the reports of peers that are no longer heard."""
+        """Remove the reports of peers that are no longer live."""
         for node in [each for each in self._reports if not self._is_live(each)]:
             report = self._reports.pop(node)
             self._drop_counts(node)
@@ -87,14 +87,14 @@
                     message_type="peer:silent", level="WARNING", peer=node, boot=report.boot
                 )
 
-    # ---- questions ----
+    # ---- queries ----
 
     def live_reports(self) -> Iterable[PeerReport]:
         """Return the newest report of each peer that was heard within LIVE_S."""
         return [report for node, report in self._reports.items() if self._is_live(node)]
 
     def live_count(self) -> int:
-        """Return the number of peers that are heard, or that a hub which is heard hears."""
+        """Return the number of live peers, including those that a live hub lists."""
         return self._list.count_live(each.node for each in self.live_reports())
 
     def report_time_s(self, node: str) -> float | None:
@@ -102,30 +102,30 @@
         return self._times_s.get(node)
 
     def heard_time_s(self, node: str) -> float | None:
-        """Return when `node` was heard last, here or by a hub that is heard; None: never."""
+        """Return when `node` was last heard, here or by a live hub; None: never."""
         times_s = (self._times_s.get(node), self._list.listed_time_s(node))
         return max((each for each in times_s if each is not None), default=None)
 
     def covered_time_s(self, hub: str) -> float | None:
-        """Return when the newest own report was sent that `hub` said it sums up; None: none."""
+        """Return when the newest own report was sent that `hub` has included; None: none."""
         return self._list.covered_time_s(hub)
 
     def is_aggregated(self, node: str) -> bool:
-        """Tell whether another hub tells `node` of the sums."""
+        """Return whether another hub sends its aggregate to `node`."""
         report = self._reports.get(node)
         reports_itself = report is not None and not report.hub and self._is_live(node)
         return not reports_itself and self._list.is_listed(node)
 
     def has_members(self) -> bool:
-        """Tell whether this process sums any peer up."""
+        """Return whether this process is the hub of any peer."""
         return any(map(self._is_member, self._reports.values()))
 
     def members(self) -> list[AgedReport]:
-        """Return the newest reports of the live peers that this process sums up."""
+        """Return the newest reports of the live peers whose hub is this process."""
         return [each for each in self._aged_reports() if self._is_member(each.report)]
 
     def hub_reports(self) -> list[AgedReport]:
-        """Return the newest reports of the live peers that sum others up."""
+        """Return the newest reports of the live peers that are hubs."""
         return [each for each in self._aged_reports() if each.report.members]
 
     def in_flight(self, server_id: str) -> int:
@@ -133,24 +133,24 @@
         return self._in_flight.get(server_checksum(server_id), 0)
 
     def service_s(self, server_id: str) -> float | None:
-        """Return the seconds that a request takes at a server as peers measured it; None: none."""
+        """Return the service time of a request at a server as peers measured it; None: unknown."""
         known = self._times_by_peer.get(server_checksum(server_id))
         return sum(known.values()) / len(known) if known else None
 
     def has_silent_peer(self) -> bool:
-        """Tell whether a peer that was heard of late is not heard now, here or by a hub."""
+        """Return whether a peer that was heard recently is not live now, here or at a hub."""
         now_s = self._clock.now()
         ages_s = (now_s - (self.heard_time_s(node) or now_s) for node in self._times_s)
         return any(LIVE_S < age_s < SILENT_MEMORY_S for age_s in ages_s)
 
     def drain_samples(self) -> list[KeySample]:
-        """Take the samples that arrived since the last call."""
+        """Return and remove the samples that arrived since the last call."""
         samples = self._samples
         self._samples = []
         return samples
 
     def drain_member_samples(self) -> list[KeySample]:
-        """Take those of the peers that this process sums up."""
+        """Return and remove the samples of the peers whose hub is this process."""
         samples = self._member_samples
         self._member_samples = []
         return samples
@@ -171,7 +171,7 @@
         heard_s = self.heard_time_s(node)
         return heard_s is not None and self._clock.now() - heard_s <= LIVE_S
 
-    def _note_times(self, report: PeerReport) -> None:
+    def _record_times(self, report: PeerReport) -> None:
         for load in report.loads:
             if load.service_s > 0:
                 self._times_by_peer.setdefault(load.server, {})[report.node] = load.service_s
@@ -180,8 +180,8 @@
         for known in self._times_by_peer.values():
             known.pop(node, None)
 
-    def _count(self, report: PeerReport, own_loads: tuple[ServerLoad, ...]) -> None:
-        """Count the loads of a report, without those of this process where it is a hub's."""
+    def _add_counts(self, report: PeerReport, own_loads: tuple[ServerLoad, ...]) -> None:
+        """Add the loads of a report; of a hub's report without those of this process."""
         counts = {load.server: load.in_flight for load in report.loads}
         for load in own_loads:
             counts[load.server] = max(0, counts.get(load.server, 0) - load.in_flight)
@@ -199,4 +199,4 @@
 
 
 def _nothing() -> None:
-    """Stand in until somebody wants to know."""
+    """Do nothing: the default listener."""
--- a/indigoworks/exchange/peer_view.py
+++ b/indigoworks/exchange/peer_view.py
@@ -1,4 +1,4 @@
-"""What the rest of the product asks of the exchange."""
+"""View of the peers for other packages."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 
 class PeerView(LoadView, Protocol):
-    """Newest reports of the peers that are heard.
+    """Newest reports of the live peers.
 
     Times are readings of the process's monotonic clock, in seconds.
     """
@@ -23,13 +23,13 @@
         ...
 
     def heard_time_s(self, node: str) -> float | None:
-        """Return when `node` was heard last, here or by a hub that is heard; None: never."""
+        """Return when `node` was last heard, here or by a live hub; None: never."""
         ...
 
     def live_count(self) -> int:
-        """Return the number of peers that are heard, or that a hub which is heard hears."""
+        """Return the number of live peers, including those that a live hub lists."""
         ...
 
     def drain_samples(self) -> list[KeySample]:
-        """Take the samples that arrived since the last call, those of this process included."""
+        """Return and remove the samples since the last call, those of this process included."""
         ...
--- a/indigoworks/exchange/report_codec.py
+++ b/indigoworks/exchange/report_codec.py
@@ -1,4 +1,4 @@
-"""Reports as datagrams."""
+"""Encodes and decodes reports as datagrams."""
 
 import math
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 
 
 def encode_report(report: PeerReport) -> bytes:
-    """Return the datagram of a report."""
+    """Encode a report as a datagram."""
     message = PeerReportMessage(
         node=report.node,
         boot=report.boot,
@@ -54,11 +54,11 @@
 
 
 def encode_forwarded(reports: Iterable[AgedReport]) -> bytes:
-    """Return what is appended to a datagram to forward reports of other gateways with it."""
+    """Encode reports of other gateways, to be appended to a datagram that forwards them."""
     message = PeerReportMessage()
     for each in reports:
-        # A beat that is handed on would look younger than it is; a leader sends to everyone itself.
-        # What a hub tells of suspect requests is in the forwarding hub's own report as well.
+        # A forwarded beat would seem younger than it is; a leader sends to each peer itself.
+        # A hub's suspect requests are in the forwarding hub's own report as well.
         report = encode_report(replace(each.report, leader=None, samples=(), suspects=()))
         added = message.forwarded.add(age_ms=_milliseconds(each.age_s))
         added.report.ParseFromString(report)
@@ -66,13 +66,13 @@
 
 
 def decode_report(datagram: bytes) -> PeerReport | None:
-    """Return the report of a datagram, without those forwarded; None where it is not one."""
+    """Decode the report of a datagram, without forwarded ones; None if it is malformed."""
     reports = decode_datagram(datagram)
     return reports[0].report if reports else None
 
 
 def decode_datagram(datagram: bytes) -> list[AgedReport]:
-    """Return the report of a datagram and those forwarded with it; empty where it is not one."""
+    """Decode the report of a datagram and those forwarded with it; empty if it is malformed."""
     message = PeerReportMessage()
     try:
         message.ParseFromString(datagram)
@@ -157,5 +157,5 @@
 
 
 def _milliseconds_up(duration_s: float) -> int:
-    """Round up: others wait for this time to pass."""
+    """Return a duration in milliseconds, rounded up: others wait for this time to pass."""
     return min(MAX_AGE_MS, max(0, math.ceil(min(duration_s, MAX_AGE_MS) * MS_PER_S)))
--- a/indigoworks/exchange/report_pace.py
+++ b/indigoworks/exchange/report_pace.py
@@ -1,72 +1,72 @@
-"""When reports go out, and how far."""
+"""Schedules reports: when they are sent, and to which peers."""
 
 from enum import Enum
 
 CHANGED_PERIOD_S = 0.05
-"""Shortest time between two reports when something changed."""
+"""Shortest time between two reports that contain changes."""
 
 PEERS_AT_FULL_PACE = 20
-"""With more peers each reports less often: what one process receives stays about the same."""
+"""Number of peers above which each reports less often, to bound what one process receives."""
 
 MAX_PERIOD_S = 0.3
-"""Longest such time: a peer must be heard well within the time for which it counts as live."""
+"""Longest such time, well below the time for which a peer counts as live without a report."""
 
-SUMMED_PERIOD_S = 0.1
-"""The same at a hub and at those that it sums up, whatever the number of peers."""
+AGGREGATED_PERIOD_S = 0.1
+"""The period at a hub and its members, whatever the number of peers."""
 
 QUIET_S = 0.2
 MIN_QUIET_PERIODS = 2
-"""A report that would say nothing new goes out after so long, and so many periods at least."""
+"""A report without changes is sent after QUIET_S, and at least MIN_QUIET_PERIODS periods."""
 
 FAR_PERIODS = 2
-"""Peers of other zones get every so many-th report: bytes between zones are dear."""
+"""Peers of other zones get one of this many reports: traffic between zones is expensive."""
 
 FAR_QUIET_S = 0.3
-"""But one after so long in any case, and so many periods at least as above."""
+"""But they get one at least this often, with MIN_QUIET_PERIODS as above."""
 
 
 class ReportScope(Enum):
-    """Who gets a report."""
+    """Set of peers that get a report."""
 
     NONE = "none"
     NEAR = "near"
-    """Peers of the own zone, and the leader."""
+    """Peers of the own zone and the leader."""
     ALL = "all"
 
 
 class ReportPace:
-    """Decides once in each period whether a report goes out."""
+    """Decides once in each period whether to send a report, and to whom."""
 
     def __init__(self) -> None:
         self._quiet_periods = 0
         self._near_periods = 0
         self._changes = 0
 
-    def period_s(self, peer_count: int, is_summed: bool = False) -> float:
+    def period_s(self, peer_count: int, is_aggregated: bool = False) -> float:
         """Return the seconds until the next decision.
 
-        :param is_summed: a hub sums the reports up, or this process is one.
+        :param is_aggregated: this process is a hub or a member of one.
         """
-        if is_summed:
-            return SUMMED_PERIOD_S
-        crowd = max(1.0, peer_count / PEERS_AT_FULL_PACE)
-        return min(CHANGED_PERIOD_S * crowd, MAX_PERIOD_S)
+        if is_aggregated:
+            return AGGREGATED_PERIOD_S
+        slowdown = max(1.0, peer_count / PEERS_AT_FULL_PACE)
+        return min(CHANGED_PERIOD_S * slowdown, MAX_PERIOD_S)
 
     def decide(
         self,
         peer_count: int,
         has_news: bool,
-        is_summed: bool = False,
+        is_aggregated: bool = False,
         is_urgent: bool = False,
     ) -> ReportScope:
-        """Return who gets a report now.
+        """Return which peers get a report now.
 
-        :param has_news: a report would say something new.
-        :param is_urgent: it says what everyone waits for.
+        :param has_news: a report would contain changes.
+        :param is_urgent: it contains a change that all peers wait for.
         """
         self._quiet_periods += 1
         self._near_periods += 1
-        period_s = self.period_s(peer_count, is_summed)
+        period_s = self.period_s(peer_count, is_aggregated)
         is_overdue = self._quiet_periods >= _periods(QUIET_S, period_s)
         is_far_overdue = self._near_periods >= _periods(FAR_QUIET_S, period_s)
         is_for_all = is_urgent or is_overdue or is_far_overdue
--- a/indigoworks/exchange/report_sender.py
+++ b/indigoworks/exchange/report_sender.py
@@ -1,4 +1,4 @@
-"""Who gets which report."""
+"""Sends reports to peers and hubs, and handles received ones."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportSource:
-    """What a process tells, and what it does with what it is told.
+    """Callbacks that make the reports of a process and handle those of peers.
 
-    :ivar make_report: returns the report of this moment; called once for each sending.
-    :ivar has_news: tells whether a report would say something new.
+    :ivar make_report: returns the current report; called once for each time reports are sent.
+    :ivar has_news: returns whether a report would contain changes.
     :ivar on_report: called with each report that is newer than the last of its peer.
     :ivar leader_node: returns the node that leads the control group.
     """
@@ -31,9 +31,9 @@
 
 
 class ReportSender:
-    """Sends reports to each peer, to the hub that sums them up, or as a hub; takes those of peers.
+    """Sends reports to each peer, to the selected hub, or as a hub; receives those of peers.
 
-    :param zone: of this process.
+    :param zone: zone of this process.
     :param send: sends a datagram to an address.
     """
 
@@ -54,16 +54,16 @@
         self._send = send
         self._pace = ReportPace()
         self._is_hub = False
-        self._is_summed = False
+        self._is_member = False
         self._is_urgent = False
-        self._forwarded: dict[str, tuple[str, int]] = {}
+        self._forwarded_marks: dict[str, tuple[str, int]] = {}
 
     def period_s(self) -> float:
         """Return the seconds until the next call of `send_if_due`."""
         return self._pace.period_s(self._directory.count_others(), self._is_paced())
 
     def send_if_due(self) -> None:
-        """Send a report where there is news, or the last was sent long enough ago."""
+        """Send a report if there are changes, or if the last one was sent long enough ago."""
         has_news = self._source.has_news() or self._table.has_members()
         reach = self._pace.decide(
             self._directory.count_others(), has_news, self._is_paced(), self._is_urgent
@@ -74,10 +74,10 @@
             self.send_now(is_to_all_zones=reach is ReportScope.ALL)
 
     def send_soon(self) -> None:
-        """Send a report now, or to all with the next one that is due where there are many peers.
+        """Send a report now, or in a large group make the next one that is due go to all peers.
 
-        A leader calls this for each range that is granted. A report to each of many peers for each
-        of hundreds of ranges would fill its link, and nobody would hear its beats any more.
+        A leader calls this for each granted range. In a large group a report to each peer for each
+        of hundreds of ranges would fill its link and delay its beats.
         """
         if self._directory.has_many():
             self._is_urgent = True
@@ -85,16 +85,17 @@
             self.send_now()
 
     def send_now(self, is_to_all_zones: bool = True) -> None:
-        """Send a report; samples of keys go to the leader, or to the hub.
+        """Send a report now; key samples go to the leader or to the hub only.
 
         :param is_to_all_zones: False: only to peers in the own zone, and to the leader.
         """
         hub = self._choice.choose()
-        was_summed, was_hub = self._is_summed, self._is_hub
+        was_member, was_hub = self._is_member, self._is_hub
         self._is_hub = self._table.has_members()
-        self._is_summed = not self._is_hub and self._choice.is_settled()
-        # Who leaves a hub is in nobody's sums from this moment; who is left should drop the sums.
-        has_left = (was_summed and not self._is_summed) or (was_hub and not self._is_hub)
+        self._is_member = not self._is_hub and self._choice.is_settled()
+        # A member that leaves its hub is in no aggregate from now on; a hub whose members left
+        # has to replace its aggregate at all peers.
+        has_left = (was_member and not self._is_member) or (was_hub and not self._is_hub)
         is_to_all_zones = is_to_all_zones or has_left
         report = self._source.make_report()
         if self._is_hub:
@@ -103,40 +104,41 @@
             self._send_to_each(report, "", is_to_all_zones)
         else:
             self._report_to(hub, report)
-            if not self._is_summed:
+            if not self._is_member:
                 self._send_to_each(report, hub.node, is_to_all_zones)
-            elif not was_summed:
-                # From now on the sums of the hub hold what each peer has counted of this process.
+            elif not was_member:
+                # From now on the hub's aggregate includes the loads of this process, so that peers
+                # must no longer count them from its own report.
                 self._send_to_each(replace(report, loads=(), hub=hub.node), hub.node, True)
 
     def handle_datagram(self, datagram: bytes) -> None:
-        """Take a datagram of a peer."""
+        """Record the reports in a datagram of a peer."""
         for each in decode_datagram(datagram):
             if self._table.record_report(each.report, each.age_s):
                 self._source.on_report(each.report)
 
     def _is_paced(self) -> bool:
-        return self._is_hub or self._is_summed
+        return self._is_hub or self._is_member
 
     def _report_to(self, hub: PeerAddress, report: PeerReport) -> None:
-        """Report to the hub, to be summed up once it has said that it lists this process.
+        """Send the report to the hub; its loads count only once the hub has listed this process.
 
-        A hub that hears but is not heard would else count a second time what each peer is told.
+        Otherwise a hub whose own reports do not arrive would add loads that peers count already.
         """
         is_joining = not self._choice.is_covered()
         self._table.record_sent(report.sequence, () if is_joining else report.loads)
-        told = replace(report, hub=hub.node, is_joining=is_joining)
-        self._send(encode_report(told), hub.address)
+        sent = replace(report, hub=hub.node, is_joining=is_joining)
+        self._send(encode_report(sent), hub.address)
 
     def _send_as_hub(self, report: PeerReport, is_to_all_zones: bool) -> None:
-        """Tell the sums to members and to all that no other hub tells them."""
+        """Send the aggregate to members and to all peers that get it from no other hub."""
         members = self._table.members()
-        summed = aggregate_reports(report, members)
+        aggregate = aggregate_reports(report, members)
         samples = (*report.samples, *self._table.drain_member_samples())
-        short = encode_report(replace(summed, samples=()))
+        short = encode_report(replace(aggregate, samples=()))
         hubs = self._table.hub_reports()
         for_members = short + encode_forwarded(self._not_forwarded(hubs))
-        for_leader = encode_report(replace(summed, samples=samples)) if samples else short
+        for_leader = encode_report(replace(aggregate, samples=samples)) if samples else short
         names = {each.report.node for each in members}
         leader = self._source.leader_node()
         for peer in self._directory.others():
@@ -144,26 +146,26 @@
                 self._send(for_members, peer.address)
             elif peer.node == leader:
                 self._send(for_leader, peer.address)
-            elif self._is_reached(peer, is_to_all_zones) and self._is_told_by_us(peer):
-                self._send(short + self._of_same_zone(peer, hubs), peer.address)
+            elif self._is_in_scope(peer, is_to_all_zones) and self._is_served_here(peer):
+                self._send(short + self._forwarded_for(peer, hubs), peer.address)
 
-    def _is_told_by_us(self, peer: PeerAddress) -> bool:
+    def _is_served_here(self, peer: PeerAddress) -> bool:
         return self._choice.has_led() or not self._table.is_aggregated(peer.node)
 
     def _not_forwarded(self, hubs: list[AgedReport]) -> list[AgedReport]:
-        """Return the reports of other hubs that are newer than those forwarded to members last."""
+        """Return the reports of other hubs that have not been forwarded to members yet."""
         newer = []
         for each in hubs:
             mark = each.report.boot, each.report.sequence
-            if self._forwarded.get(each.report.node) != mark:
-                self._forwarded[each.report.node] = mark
+            if self._forwarded_marks.get(each.report.node) != mark:
+                self._forwarded_marks[each.report.node] = mark
                 newer.append(each)
         return newer
 
-    def _of_same_zone(self, peer: PeerAddress, hubs: list[AgedReport]) -> bytes:
-        """Return what is appended for a peer with further hubs in its zone.
+    def _forwarded_for(self, peer: PeerAddress, hubs: list[AgedReport]) -> bytes:
+        """Return the reports of further hubs in a peer's zone, to be appended to a datagram.
 
-        There are such hubs only where links of the zone are cut: they may not hear each other.
+        A zone has several hubs only while links in it are cut; they may not hear each other.
         """
         further = [
             each
@@ -174,15 +176,15 @@
         return encode_forwarded(further) if further else b""
 
     def _send_to_each(self, report: PeerReport, hub: str, is_to_all_zones: bool) -> None:
-        """Send a report to each peer but `hub`, which has its own."""
+        """Send a report to each peer except `hub`, which gets one of its own."""
         leader = self._source.leader_node()
         short = encode_report(replace(report, samples=()))
         has_samples = bool(report.samples) and not hub
         for peer in self._directory.others():
             is_leader = peer.node == leader
-            if peer.node != hub and (is_leader or self._is_reached(peer, is_to_all_zones)):
+            if peer.node != hub and (is_leader or self._is_in_scope(peer, is_to_all_zones)):
                 datagram = encode_report(report) if is_leader and has_samples else short
                 self._send(datagram, peer.address)
 
-    def _is_reached(self, peer: PeerAddress, is_to_all_zones: bool) -> bool:
+    def _is_in_scope(self, peer: PeerAddress, is_to_all_zones: bool) -> bool:
         return is_to_all_zones or peer.zone == self._zone
--- a/indigoworks/exchange/server_load.py
+++ b/indigoworks/exchange/server_load.py
@@ -1,4 +1,4 @@
-"""Load that one gateway puts on one server."""
+"""Load that a gateway puts on a server."""
 
 import zlib
 from dataclasses import dataclass
@@ -7,18 +7,19 @@
 
 @lru_cache(maxsize=4096)
 def server_checksum(server_id: str) -> int:
-    """Return the 32 bits that stand for a server's id in reports: bytes between zones are dear.
+    """Return the 32-bit checksum that identifies a server in reports, which keeps them small.
 
-    Two ids that share them would only blur each other's load.
+    Traffic between zones is expensive. If two ids collide, only their loads are mixed up.
     """
     return zlib.crc32(server_id.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Requests in flight from one gateway and the time one takes as it measured it; 0: unknown.
+    """Requests in flight from one gateway, and the service time that it measured.
 
-    :ivar server: checksum of its id.
+    :ivar server: checksum of the server's id.
+    :ivar service_s: mean time of a request in seconds; 0: unknown.
     """
 
     server: int
--- a/indigoworks/exchange/shared_notice.py
+++ b/indigoworks/exchange/shared_notice.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of what a server asked for in its answers."""
+"""Notices that gateways share: what a server asked for in its responses."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -6,22 +6,22 @@
 from indigoworks.common.limit_word import LimitWord
 
 MAX_REPORTERS = 4
-"""Gateways that a note names: whether more than that were asked makes no difference to anybody."""
+"""Largest number of gateways that a notice names; no decision depends on more of them."""
 
 MAX_NOTICES = 28
-"""Notes in a report, of up to 49 bytes each (computed), so that it stays below the 1.5 KB of a
-packet."""
+"""Largest number of notices in a report, at up to 49 bytes each, so that the report stays below the
+1.5 KB of a packet."""
 
 
 @dataclass(frozen=True, slots=True)
 class SharedNotice:
-    """A server's wish, as it was told to the sender and to those whom the sender sums up.
+    """What a server asked of the sender and of the members whose reports the sender aggregates.
 
     :ivar server: checksum of the server's id.
-    :ivar rest_left_s: seconds for which it still wants no request from the tellers; 0: it asked
+    :ivar rest_left_s: seconds for which it still wants no request from the reporters; 0: it asked
         none of them for rest.
-    :ivar tellers: checksums of the gateways that were asked for rest.
-    :ivar limit: the newest word on a limit that any of them knows; None: none knows one.
+    :ivar reporters: checksums of the gateways that were asked for rest.
+    :ivar limit: the newest limit that any of them knows; None: none knows one.
     """
 
     server: int
@@ -31,28 +31,28 @@
     limit: LimitWord | None = None
 
     def aged(self, age_s: float) -> "SharedNotice":
-        """Return the same as of `age_s` later, as far as ages go."""
+        """Return the same notice with its ages increased by `age_s`."""
         if self.limit is None:
             return self
         return replace(self, limit=replace(self.limit, age_s=self.limit.age_s + age_s))
 
 
-def merge_notices(notes: Iterable[SharedNotice]) -> tuple[SharedNotice, ...]:
-    """Return one note for each server, leaving ones first; the same whatever the order."""
+def merge_notices(notices: Iterable[SharedNotice]) -> tuple[SharedNotice, ...]:
+    """Return one notice for each server, leaving servers first; the input order has no effect."""
     merged: dict[int, SharedNotice] = {}
-    for note in notes:
-        known = merged.get(note.server)
-        merged[note.server] = note if known is None else _merge(known, note)
+    for notice in notices:
+        known = merged.get(notice.server)
+        merged[notice.server] = notice if known is None else _merge(known, notice)
     ordered = sorted(merged.values(), key=lambda each: (not each.is_leaving, -each.rest_left_s))
     return tuple(ordered[:MAX_NOTICES])
 
 
 def _merge(one: SharedNotice, other: SharedNotice) -> SharedNotice:
-    tellers = sorted({*one.reporters, *other.reporters})
+    reporters = sorted({*one.reporters, *other.reporters})
     return SharedNotice(
         one.server,
         max(one.rest_left_s, other.rest_left_s),
-        tuple(tellers[:MAX_REPORTERS]),
+        tuple(reporters[:MAX_REPORTERS]),
         one.is_leaving or other.is_leaving,
         _newer(one.limit, other.limit),
     )
--- a/indigoworks/exchange/stored_suspect.py
+++ b/indigoworks/exchange/stored_suspect.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a request under which servers ended."""
+"""Record of a suspect request as it is kept in the store."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredSuspect:
-    """A note, and when it was written.
+    """A record, and when it was written.
 
-    :ivar note: its ages are those of the moment of writing.
-    :ivar store_ms: reading of the store's steady clock then, in milliseconds; 0: not known.
+    :ivar record: its ages are as of the time of writing.
+    :ivar store_ms: reading of the store's monotonic clock then, in milliseconds; 0: unknown.
     """
 
     record: SuspectRecord
--- a/indigoworks/exchange/suspect_codec.py
+++ b/indigoworks/exchange/suspect_codec.py
@@ -1,4 +1,4 @@
-"""Notes of suspect requests as messages, and as values of rows."""
+"""Encodes and decodes records of suspect requests, as messages and as row values."""
 
 from google.protobuf.message import DecodeError
 
@@ -10,21 +10,21 @@
 NO_CRASH_MS = 2**32 - 1
 
 
-def to_message(note: SuspectRecord) -> SuspectMessage:
-    """Return the message of a note."""
+def to_message(record: SuspectRecord) -> SuspectMessage:
+    """Encode a record as a message."""
     return SuspectMessage(
-        head=note.head,
-        body=note.body,
-        generation=note.generation,
-        crashes=note.crashes,
-        crashed_age_ms=_milliseconds(note.crashed_age_s),
-        seen_age_ms=_milliseconds(note.seen_age_s),
-        is_shared=note.is_shared,
+        head=record.head,
+        body=record.body,
+        generation=record.generation,
+        crashes=record.crashes,
+        crashed_age_ms=_milliseconds(record.crashed_age_s),
+        seen_age_ms=_milliseconds(record.seen_age_s),
+        is_shared=record.is_shared,
     )
 
 
 def from_message(message: SuspectMessage) -> SuspectRecord:
-    """Return the note of a message."""
+    """Decode a record from a message."""
     has_crash = message.crashed_age_ms != NO_CRASH_MS
     return SuspectRecord(
         head=message.head,
@@ -38,13 +38,13 @@
 
 
 def encode_stored(stored: StoredSuspect) -> bytes:
-    """Return the value of a row."""
+    """Encode a stored record as the value of a row."""
     message = StoredSuspectMessage(suspect=to_message(stored.record), store_ms=stored.store_ms)
     return message.SerializeToString()
 
 
 def decode_stored(value: bytes) -> StoredSuspect | None:
-    """Return what the value of a row says; None where it says nothing that can be read."""
+    """Decode the value of a row; None if it is malformed."""
     message = StoredSuspectMessage()
     try:
         message.ParseFromString(value)
--- a/indigoworks/exchange/suspect_record.py
+++ b/indigoworks/exchange/suspect_record.py
@@ -1,14 +1,14 @@
-"""What gateways tell each other of a request under which servers ended."""
+"""Record of a suspect request that gateways share: servers crashed while they ran it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectRecord:
-    """One request, by the digests of its content; see `indigoworks.quarantine.suspect`.
+    """One request, identified by digests of its content; see `indigoworks.quarantine.suspect`.
 
     :ivar crashed_age_s: seconds since the latest of `crashes`; infinity: there is none.
-    :ivar is_shared: it stands for the tries of all callers.
+    :ivar is_shared: it counts the attempts of all callers.
     :ivar seen_age_s: seconds since the request was seen last.
     """
 
