--- a/indigoworks/servers/__init__.py
+++ b/indigoworks/servers/__init__.py
@@ -1,1 +1,1 @@
-"""The servers (back ends) that the platform lists, as every gateway follows them."""
+"""Servers (back ends) that the platform lists, and what they report of themselves."""
--- a/indigoworks/servers/errors.py
+++ b/indigoworks/servers/errors.py
@@ -1,9 +1,9 @@
-"""Typed errors of the list of servers."""
+"""Errors of the server list."""
 
 from indigoworks.common.errors import IndigoworksError
 
 
 class ServerEntryUnreadable(IndigoworksError):
-    """An entry that cannot be read; its server gets no work until it can be."""
+    """An entry is malformed; its server gets no requests until it is corrected."""
 
     kind = "server_entry_unreadable"
--- a/indigoworks/servers/replaced_servers.py
+++ b/indigoworks/servers/replaced_servers.py
@@ -1,4 +1,4 @@
-"""Servers whose address another one has taken."""
+"""Servers whose address another server has taken over."""
 
 from eliot import log_message
 
@@ -6,33 +6,33 @@
 
 
 class ReplacedServers:
-    """Remembers whom an answer told of, and writes a line for each server and sign, once."""
+    """Records servers that a response showed to be replaced; logs each kind of evidence once."""
 
     def __init__(self) -> None:
         self._replaced: set[str] = set()
-        self._told: set[tuple[str, ReplacementEvidence]] = set()
+        self._logged: set[tuple[str, ReplacementEvidence]] = set()
 
     def __contains__(self, server_id: str) -> bool:
         return server_id in self._replaced
 
-    def add(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
-        """Take note that another server answers at the address of `server_id`."""
+    def add(self, server_id: str, by_server_id: str, evidence: ReplacementEvidence) -> None:
+        """Record that another server answers at the address of `server_id`."""
         self._replaced.add(server_id)
-        self.tell(server_id, by_server_id, sign)
+        self.log_once(server_id, by_server_id, evidence)
 
-    def tell(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
-        """Write that another server has taken the address of `server_id`."""
-        if (server_id, sign) not in self._told:
-            self._told.add((server_id, sign))
+    def log_once(self, server_id: str, by_server_id: str, evidence: ReplacementEvidence) -> None:
+        """Log once that another server has taken over the address of `server_id`."""
+        if (server_id, evidence) not in self._logged:
+            self._logged.add((server_id, evidence))
             log_message(
                 message_type="server:replaced",
                 level="WARNING",
                 server=server_id,
                 by=by_server_id,
-                sign=sign.value,
+                sign=evidence.value,
             )
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that nobody asks for any more, or an earlier life of it."""
+        """Remove a server that is no longer looked up, or an earlier run of it."""
         self._replaced.discard(server_id)
-        self._told = {each for each in self._told if each[0] != server_id}
+        self._logged = {each for each in self._logged if each[0] != server_id}
--- a/indigoworks/servers/self_reported_load.py
+++ b/indigoworks/servers/self_reported_load.py
@@ -1,15 +1,15 @@
-"""What a server says of its own load."""
+"""Load of a server as it reports it itself."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class SelfReportedLoad:
-    """Load of a server at the moment of one of its answers, from all callers together.
+    """Load of a server from all callers together, at the time of one of its responses.
 
-    :ivar running: requests that it works on.
+    :ivar running: requests that it runs.
     :ivar waiting: requests in its own queue.
-    :ivar pace: time that its work takes at present, as a multiple of the usual.
+    :ivar pace: present service time of its requests, as a multiple of the usual.
     """
 
     running: int
--- a/indigoworks/servers/server_list.py
+++ b/indigoworks/servers/server_list.py
@@ -1,4 +1,4 @@
-"""The list of servers as this process follows it."""
+"""The server list as this process follows it in the store."""
 
 from collections.abc import Iterable
 
@@ -16,37 +16,36 @@
 from indigoworks.servers.zone_evacuations import ZoneEvacuations
 
 REMEMBERED_S = 60.0
-"""How long a server that left the list can still be looked up."""
+"""Time for which a server that left the list can still be looked up."""
 
 TROUBLE_HEARTBEATS = 2
-"""Heartbeats within which every living server is back in the list after a trouble of the store."""
+"""Heartbeats within which every running server is listed again after trouble of the store."""
 
 LATE_TROUBLE_S = 1.0
-"""A call that fails is noticed so late after the trouble began."""
+"""Longest time from the start of trouble to the first failed call that shows it."""
 
 TROUBLE_MARGIN_S = 1.0
-"""Added to that time."""
+"""Margin added to those heartbeats."""
 
 MAX_SETTLE_S = 2.2
-"""No longer than that, whatever the heartbeat: a living server is back in the list within about two
-seconds (the users' word), and one that is still missing is gone. A gateway that was cut off itself
-has 3 s until it must send nothing to a server whose leaving it missed, and the first calls after
-the cut may still fail for half a second."""
+"""Upper bound of that time: a running server must be listed again within about two seconds, so one
+that is still missing is gone. A gateway that was cut off itself has 3 s until it must stop sending
+to a server whose leaving it missed, and the first calls after the cut may still fail for 0.5 s."""
 
 MOVE_AWAY_S = 1.0
-"""After this process has learnt of an evacuation, owners in the zone serve their keys for so long
-while these move, and so does an owner whose answer says that it leaves while its entry does not:
-2 s after it nothing may be sent there any more. An evacuation must be in force everywhere 5 s after
-it was accepted; processes that read it last do so about 1 s after that."""
+"""Time for which owners in an evacuated zone still serve their keys while these move, after this
+process read of the evacuation, and likewise an owner that says in a response that it leaves before
+its entry does: 2 s after that nothing may be sent there. An evacuation must be in force everywhere
+5 s after it was accepted; the last processes read it about 1 s after that."""
 
 
 class ServerList:
-    """Servers by id; see `ServerSource` for what counts as usable.
+    """Servers by id; `ServerSource` defines which are usable.
 
-    :param heartbeat_s: time in which each server renews its entry, in seconds.
-    :ivar evacuations: zones whose servers must get no new work.
-    :ivar cold: servers that bear few requests a second for a while.
-    :ivar notices: what servers asked for in their answers.
+    :param heartbeat_s: seconds in which each server renews its entry.
+    :ivar evacuations: zones whose servers get no new requests.
+    :ivar cold: servers that take few requests a second for a while.
+    :ivar notices: what servers asked for in their responses.
     """
 
     def __init__(self, health: StoreHealth, heartbeat_s: float, clock: Clock) -> None:
@@ -66,20 +65,20 @@
     # ---- changes ----
 
     def set_heartbeat(self, heartbeat_s: float) -> None:
-        """Take note of the time in which servers renew their entries."""
+        """Set the seconds in which servers renew their entries."""
         self._settle_s = min(TROUBLE_HEARTBEATS * heartbeat_s + TROUBLE_MARGIN_S, MAX_SETTLE_S)
 
     def put(self, record: ServerRecord) -> None:
-        """Take a new or changed entry."""
+        """Apply a new or changed entry."""
         known = self._listed.get(record.server_id)
         if known is not None and known.version >= record.version:
             return
         earlier = self.get(record.server_id)
-        if earlier is not None and record.is_older_word_than(earlier):
-            self._note_older_word(record, earlier)
+        if earlier is not None and record.is_older_report_than(earlier):
+            self._log_older_entry(record, earlier)
             return
         if earlier is not None and 0 < earlier.started_ms < record.started_ms:
-            # The wishes and the end of another life concern this one no more.
+            # Notices and replacement of an earlier run do not apply to this one.
             self.notices.forget(record.server_id)
             self._replaced.forget(record.server_id)
         self._listed[record.server_id] = record
@@ -91,13 +90,13 @@
         if known is None or known.is_draining != record.is_draining:
             self._log("server:listed", record, is_draining=record.is_draining)
 
-    def _note_older_word(self, record: ServerRecord, known: ServerRecord) -> None:
+    def _log_older_entry(self, record: ServerRecord, known: ServerRecord) -> None:
         is_vanished = known.server_id in self._vanished
         if is_vanished or known.is_draining != record.is_draining:
             self._log("server:kept", known, is_vanished=is_vanished, is_draining=known.is_draining)
 
     def remove(self, server_id: str) -> None:
-        """Take note that an entry vanished."""
+        """Record that an entry vanished."""
         record = self._listed.pop(server_id, None)
         if record is None:
             return
@@ -105,58 +104,60 @@
         self._log("server:vanished", record, store_trouble_age_s=self._health.trouble_age_s())
 
     def keep_only(self, server_ids: set[str]) -> None:
-        """Remove what a whole reading of the list no longer holds."""
+        """Remove the entries that a full read of the list no longer contains."""
         for server_id in [each for each in self._listed if each not in server_ids]:
             self.remove(server_id)
 
-    def record_replaced(self, server_id: str, by_server_id: str, sign: ReplacementEvidence) -> None:
-        """Take note that another server answers at the address of `server_id`: it is gone."""
-        self._replaced.add(server_id, by_server_id, sign)
+    def record_replaced(
+        self, server_id: str, by_server_id: str, evidence: ReplacementEvidence
+    ) -> None:
+        """Record that another server answers at the address of `server_id`, which is gone."""
+        self._replaced.add(server_id, by_server_id, evidence)
 
     def record_notice(self, server_id: str, notice: ServerNotice) -> None:
-        """Take what a server asks for in an answer."""
+        """Record what a server asks for in a response."""
         record = self.get(server_id)
         if record is not None:
             self.notices.record(record, notice)
 
     def record_no_limit(self, server_id: str) -> None:
-        """Take note that an answer of a server names no limit."""
+        """Record that a response of a server names no limit."""
         record = self.get(server_id)
         if record is not None:
             self.notices.limits.record_no_limit(record)
 
-    # ---- questions ----
+    # ---- queries ----
 
     def is_gone(self, server_id: str) -> bool:
-        """Tell whether the server's process is known to have ended."""
+        """Return whether the server's process is known to have ended."""
         if server_id in self._replaced:
             return True
         record = self.get(server_id)
         holder = None if record is None else self.holder_of_address(record)
         if holder is None:
             return False
-        self._replaced.tell(server_id, holder.server_id, ReplacementEvidence.LIST)
+        self._replaced.log_once(server_id, holder.server_id, ReplacementEvidence.LIST)
         return True
 
     def is_listed(self, server_id: str) -> bool:
-        """Tell whether the list has the server's entry."""
+        """Return whether the list has the server's entry."""
         return server_id in self._listed
 
     def usable(self, service: str) -> Iterable[ServerRecord]:
-        """Return the servers of `service` that may get new work."""
+        """Return the servers of `service` that may get new requests."""
         records = self._by_service.get(service, {})
         return [record for record in records.values() if self.is_usable(record.server_id)]
 
     def known(self, service: str) -> Iterable[ServerRecord]:
-        """Return the servers of `service` that are listed or were so a short time ago."""
+        """Return the servers of `service` that are listed or were until recently."""
         return self._by_service.get(service, {}).values()
 
     def listed(self) -> Iterable[ServerRecord]:
-        """Return all entries of the list, leaving servers included."""
+        """Return all entries of the list, including leaving servers."""
         return self._listed.values()
 
     def is_usable(self, server_id: str) -> bool:
-        """Tell whether the server may get new work."""
+        """Return whether the server may get new requests."""
         record = self.get(server_id)
         if record is None or self.evacuations.is_evacuated(record.zone):
             return False
@@ -165,34 +166,33 @@
         return self._is_in_service(server_id)
 
     def is_cold(self, server_id: str) -> bool:
-        """Tell whether a server bears few requests a second for a while."""
+        """Return whether a server takes few requests a second for a while."""
         record = self.get(server_id)
         return record is not None and self.cold.is_cold(record)
 
     def has_resting(self) -> bool:
-        """Tell whether any server may rest: a quick look that spares the one at each server."""
+        """Return whether any server may rest: a cheap check before those of each server."""
         return self.notices.rests.has_any()
 
     def rest_left_s(self, server_id: str) -> float:
-        """Return for how much longer a server wants no request from this process; 0: it takes
-        them."""
+        """Return the seconds for which a server asks this process for rest; 0: it does not."""
         return self.notices.rests.left_s(server_id)
 
     def rest_left_s_for_many(self, server_id: str) -> float:
-        """Return for how much longer several gateways are asked for rest by a server; 0: none or
+        """Return the seconds for which several gateways are asked for rest by a server; 0: at most
         one is."""
         return self.notices.rests.left_s_for_many(server_id)
 
     def limit_per_s(self, server_id: str) -> float | None:
-        """Return the requests a second that are passed on to a server, by its word of late; None:
-        it names no limit, or nobody has heard from it for long."""
+        """Return the granted rate to a server by its recent reports; None: it names no limit, or
+        has not confirmed it recently."""
         limits = self.notices.limits
         if not limits.has_any() or not limits.is_confirmed(server_id):
             return None
         return limits.passed_per_s(server_id)
 
     def is_held_back(self, server_id: str) -> bool:
-        """Tell whether what a server asked for in its answers forbids a request to it now."""
+        """Return whether what a server asked for in its responses forbids a request to it now."""
         if not self.notices.has_any():
             return False
         if self.rest_left_s(server_id) > 0:
@@ -200,11 +200,11 @@
         return self.notices.says_leaving(server_id) and not self.may_serve_own_keys(server_id)
 
     def may_serve_own_keys(self, server_id: str) -> bool:
-        """Tell whether an owner may get requests for its keys until these have moved.
+        """Return whether an owner may get requests for its keys until these have moved.
 
-        In an evacuation a zone's owners all leave at once, and a server may say in an answer that
-        it leaves before the list does; cutting them off before their keys are granted elsewhere
-        would leave these unserved for the time of the moves.
+        In an evacuation all owners of a zone leave at once, and a server may say in a response that
+        it leaves before the list does. If requests stopped before their keys are granted elsewhere,
+        these would be unserved during the moves.
         """
         if self.is_usable(server_id):
             return True
@@ -215,17 +215,17 @@
         return max(evacuated_for_s, self.notices.leaving_for_s(server_id)) < MOVE_AWAY_S
 
     def get(self, server_id: str) -> ServerRecord | None:
-        """Return a server that is listed or was so a short time ago, leaving ones included."""
+        """Return a server that is listed or was until recently, including leaving ones."""
         if server_id in self._listed:
             return self._listed[server_id]
         vanished = self._vanished.get(server_id)
         return None if vanished is None else vanished[0]
 
     def holder_of_address(self, record: ServerRecord) -> ServerRecord | None:
-        """Return the listed server that came to the address of `record` after it, if there is one.
+        """Return the listed server that took over the address of `record`, if there is one.
 
-        The entry of an ended server stays listed for some heartbeats beside that of the one in its
-        place: only the later says anything of the earlier.
+        The entry of an ended server stays listed for some heartbeats beside that of its successor.
+        Only the later entry is evidence on the earlier server.
         """
         at_address = [each for each in self._listed.values() if each.address == record.address]
         later = [each for each in at_address if self._came_after(each, record)]
@@ -234,20 +234,20 @@
     def _came_after(self, one: ServerRecord, other: ServerRecord) -> bool:
         first = self._first_versions[one.server_id]
         other_first = self._first_versions.get(other.server_id, other.version)
-        # A copy of the store may bring back an entry; where the starts say otherwise none is known.
+        # A restored copy of the store may bring back an old entry, unless start times exclude it.
         may_be_old = one.started_ms == 0 and first.era != other_first.era
         return first > other_first and not may_be_old and not 0 < one.started_ms < other.started_ms
 
     def service_at(self, host: str) -> str | None:
-        """Return the service of the server that was listed last at an address; None: none was."""
+        """Return the service of the server last listed at a host; None: none was."""
         return self._services_at.get(host)
 
     def is_empty(self) -> bool:
-        """Tell whether no server was listed."""
+        """Return whether no server is listed or was until recently."""
         return not self._listed and not self._vanished
 
     def forget_old(self) -> None:
-        """Forget servers that vanished long ago."""
+        """Remove servers that vanished long ago."""
         earliest_s = self._clock.now() - REMEMBERED_S
         for server_id, (record, at_s) in list(self._vanished.items()):
             if at_s < earliest_s:
@@ -269,18 +269,18 @@
         return self._vanished_in_trouble(server_id)
 
     def _vanished_in_trouble(self, server_id: str) -> bool:
-        """An entry that vanished in a time of trouble says nothing until the store settled.
+        """Return whether an entry vanished during trouble of the store that has not settled yet.
 
-        Trouble that begins later says nothing about it; a call that found the trouble may have
-        timed out a little after the entry vanished.
+        Later trouble does not count, except that a call which found the trouble may have timed
+        out a little after the entry vanished.
         """
         vanished = self._vanished.get(server_id)
         if vanished is None or vanished[0].is_draining:
             return False
         if self.holder_of_address(vanished[0]) is not None:
             return False
-        # A trouble of which a relay tells after the entry vanished may be that of its own path
-        # alone: the server has been taken for leaving, and stays so.
+        # Trouble that a relay reports after the entry vanished may concern only the relay's path:
+        # the server has counted as leaving, and still does.
         trouble_s = self._health.last_trouble_before(
             vanished[1] + LATE_TROUBLE_S, reported_by_s=vanished[1]
         )
--- a/indigoworks/servers/server_notice.py
+++ b/indigoworks/servers/server_notice.py
@@ -1,11 +1,11 @@
-"""What a server says of itself in the head of an answer."""
+"""Notice of a server: what the headers of its response ask of senders."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableHeader:
-    """A header of an answer whose text is no wish."""
+    """A header of a response with a malformed value."""
 
     name: str
     text: str
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """What one answer asks of those who send requests, whatever else it holds.
+    """What one response asks of senders of requests, apart from its content.
 
-    :ivar rest_s: seconds for which the server wants no request from this process; 0: it asks for
+    :ivar rest_s: seconds for which the server wants no requests from this process; 0: it asks for
         no rest.
-    :ivar is_leaving: the server is about to end.
-    :ivar unreadable: wishes that cannot be read: they change nothing.
-    :ivar limit_per_s: requests a second that the server takes from all gateways together; None: it
-        names no limit.
+    :ivar is_leaving: the server is about to stop.
+    :ivar unreadable: malformed headers, which have no effect.
+    :ivar limit_per_s: requests a second that the server accepts from all gateways together; None:
+        it names no limit.
     """
 
     rest_s: float = 0.0
@@ -30,4 +30,4 @@
 
 
 NOTHING_ASKED = ServerNotice()
-"""The notice of nearly every answer."""
+"""The notice of nearly every response."""
--- a/indigoworks/servers/server_notices.py
+++ b/indigoworks/servers/server_notices.py
@@ -1,4 +1,4 @@
-"""What servers said of themselves in their answers."""
+"""Notices from the responses of servers, kept by server."""
 
 from collections.abc import Callable
 
@@ -11,15 +11,15 @@
 from indigoworks.servers.server_record import ServerRecord
 
 MAX_LOGGED_TEXT = 80
-"""Characters of an unreadable wish that a line names."""
+"""Characters of a malformed header that are logged."""
 
 
 class ServerNotices:
-    """Takes the notices of all answers, of whatever kind, and remembers them by server.
+    """Records the notices of all responses, whatever their status, by server.
 
     :ivar rests: servers that asked this process for rest.
     :ivar limits: servers that name a limit.
-    :ivar on_leaving: called when a server has said that it leaves.
+    :ivar on_leaving: called when a server first says that it leaves.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,57 +27,57 @@
         self.rests = RestingServers(clock)
         self.limits = ServerLimits(clock)
         self._leaving_s: dict[str, float] = {}
-        self._heard_leaving: set[str] = set()
-        self._unreadable: dict[str, set[str]] = {}
+        self._own_leaving: set[str] = set()
+        self._logged_headers: dict[str, set[str]] = {}
         self.on_leaving: Callable[[], None] = _nothing
 
     def record(self, server: ServerRecord, notice: ServerNotice, is_own: bool = True) -> None:
-        """Take what a server asks for in an answer.
+        """Record what a server asks for in a response.
 
-        :param is_own: False: a peer tells of it.
+        :param is_own: False: a peer reports it.
         """
         if notice.rest_s > 0:
             self.rests.record(server, notice.rest_s)
         if notice.is_leaving:
-            self._note_leaving(server, is_own)
+            self._record_leaving(server, is_own)
         if notice.limit_per_s is not None:
             self.limits.record(server, notice.limit_per_s)
         for each in notice.unreadable:
-            self._note_unreadable(server, each)
+            self._log_unreadable(server, each)
 
     def has_any(self) -> bool:
-        """Tell whether any server asked for anything that holds: a quick look."""
+        """Return whether any server asks for rest or leaves: a cheap check."""
         return bool(self._leaving_s) or self.rests.has_any()
 
     def says_leaving(self, server_id: str) -> bool:
-        """Tell whether a server said in an answer that it leaves; it stays so until its end."""
+        """Return whether a server said in a response that it leaves; this is not revoked."""
         return server_id in self._leaving_s
 
     def leaving_for_s(self, server_id: str) -> float:
-        """Return the time since it first said so; 0: it did not."""
-        told_s = self._leaving_s.get(server_id)
-        return 0.0 if told_s is None else self._clock.now() - told_s
+        """Return the seconds since a server first said that it leaves; 0: it did not."""
+        said_s = self._leaving_s.get(server_id)
+        return 0.0 if said_s is None else self._clock.now() - said_s
 
     def leaving_count(self) -> int:
-        """Return how many servers are known to have said that they leave."""
+        """Return the number of servers that are known to have said that they leave."""
         return len(self._leaving_s)
 
     def said_leaving_within(self, duration_s: float) -> list[str]:
-        """Return the servers that told this process itself so short a time ago."""
-        return [each for each in self._heard_leaving if self.leaving_for_s(each) < duration_s]
+        """Return the servers that told this process within `duration_s` that they leave."""
+        return [each for each in self._own_leaving if self.leaving_for_s(each) < duration_s]
 
     def forget(self, server_id: str) -> None:
-        """Forget a server that left, or an earlier life of one."""
+        """Remove a server that left, or an earlier run of one."""
         self.rests.forget(server_id)
         self.limits.forget(server_id)
         self._leaving_s.pop(server_id, None)
-        self._heard_leaving.discard(server_id)
-        self._unreadable.pop(server_id, None)
+        self._own_leaving.discard(server_id)
+        self._logged_headers.pop(server_id, None)
 
-    def _note_leaving(self, server: ServerRecord, is_own: bool) -> None:
-        """Take note that a server said in an answer that it leaves."""
+    def _record_leaving(self, server: ServerRecord, is_own: bool) -> None:
+        """Record that a server said in a response that it leaves."""
         if is_own:
-            self._heard_leaving.add(server.server_id)
+            self._own_leaving.add(server.server_id)
         if server.server_id in self._leaving_s:
             return
         self._leaving_s[server.server_id] = self._clock.now()
@@ -90,9 +90,9 @@
         )
         self.on_leaving()
 
-    def _note_unreadable(self, server: ServerRecord, header: UnreadableHeader) -> None:
-        """Log a wish that cannot be read, once for each header: its text may differ each time."""
-        known = self._unreadable.setdefault(server.server_id, set())
+    def _log_unreadable(self, server: ServerRecord, header: UnreadableHeader) -> None:
+        """Log a malformed header once for each name, as its text may differ each time."""
+        known = self._logged_headers.setdefault(server.server_id, set())
         if header.name in known:
             return
         known.add(header.name)
@@ -106,4 +106,4 @@
 
 
 def _nothing() -> None:
-    """Stand in until somebody wants to know."""
+    """Do nothing: the default listener."""
--- a/indigoworks/servers/server_record.py
+++ b/indigoworks/servers/server_record.py
@@ -1,4 +1,4 @@
-"""One server as the platform lists it."""
+"""Entry of a server in the platform's list."""
 
 from dataclasses import dataclass
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """One life of a server process.
+    """Entry of one run of a server process.
 
-    :ivar server_id: names this life; a restarted server has another id, or the same one.
-    :ivar slots: requests that it works on at the same time.
-    :ivar is_draining: it announced that it will leave.
+    :ivar server_id: id of the server; a restarted server may have another id or the same one.
+    :ivar slots: requests that it runs at the same time.
+    :ivar is_draining: it has announced that it will leave.
     :ivar warm_up_left_s: seconds for which it stays slow, as of `version`.
     :ivar version: version of its row in the store.
-    :ivar started_ms: Unix milliseconds of its start, which tells lives of one id apart; 0: unknown.
-    :ivar sequence: grows with each entry that this life writes; 0: unknown.
+    :ivar started_ms: Unix milliseconds of its start, to distinguish runs of one id; 0: unknown.
+    :ivar sequence: increases with each entry that this run writes; 0: unknown.
     """
 
     server_id: str
@@ -30,11 +30,11 @@
     started_ms: int = 0
     sequence: int = 0
 
-    def is_older_word_than(self, known: "ServerRecord") -> bool:
-        """Tell whether a copy of the store brought back what this server had said before `known`.
+    def is_older_report_than(self, known: "ServerRecord") -> bool:
+        """Return whether this is an entry older than `known`, from a restored copy of the store.
 
-        A leaving is not taken back by it, and a server whose entry vanished has not come again.
+        It does not revoke that a server leaves, and a server whose entry vanished is not back.
         """
-        is_same_life = self.started_ms == known.started_ms
+        is_same_run = self.started_ms == known.started_ms
         is_later_era = self.version.era > known.version.era
-        return is_later_era and is_same_life and 0 < self.sequence <= known.sequence
+        return is_later_era and is_same_run and 0 < self.sequence <= known.sequence
--- a/indigoworks/servers/zone_evacuations.py
+++ b/indigoworks/servers/zone_evacuations.py
@@ -1,4 +1,4 @@
-"""Zones whose servers an operator empties, as this process follows them."""
+"""Zones that an operator evacuates, as this process follows them in the store."""
 
 from collections.abc import Iterable
 
@@ -6,8 +6,8 @@
 
 from indigoworks.common.clock import Clock
 
-WRITTEN_AGAIN_S = 5.0
-"""The operator has written again what a copy of the store lacks within this time: as long as an
+RESTORE_S = 5.0
+"""Time in which the operator writes again what a restored copy of the store lacks: as long as an
 evacuation may take to be in force everywhere."""
 
 
@@ -26,17 +26,17 @@
     # ---- changes ----
 
     def keep_all(self) -> None:
-        """Keep the evacuations that are known for a while, whatever a reading lacks.
+        """Keep the known evacuations for a while, even if a read does not return them.
 
-        The store has come back from a copy; the operator writes again what the copy does not hold.
+        The store was restored from a copy; the operator writes again what the copy lacks.
         """
-        until_s = self._clock.now() + WRITTEN_AGAIN_S
+        until_s = self._clock.now() + RESTORE_S
         self._kept_until_s = dict.fromkeys(self._begun_s, until_s)
         if self._begun_s:
             log_message(message_type="zone:evacuations_kept", zones=sorted(self._begun_s))
 
     def end_kept(self, zones: Iterable[str]) -> None:
-        """End the evacuations that were kept for long enough and are not among `zones`."""
+        """End the evacuations that were kept for RESTORE_S and are not among `zones`."""
         written = set(zones)
         now_s = self._clock.now()
         for zone in [each for each, until_s in self._kept_until_s.items() if until_s <= now_s]:
@@ -45,14 +45,14 @@
                 self.end(zone)
 
     def begin(self, zone: str) -> None:
-        """Take note that a zone is to be empty from now on."""
+        """Record that a zone is evacuated from now on."""
         if zone in self._begun_s:
             return
         self._begun_s[zone] = self._clock.now()
         log_message(message_type="zone:evacuated", level="WARNING", zone=zone)
 
     def end(self, zone: str) -> None:
-        """Take note that the servers of a zone may work again."""
+        """Record that the evacuation of a zone ended."""
         self._kept_until_s.pop(zone, None)
         if self._begun_s.pop(zone, None) is None:
             return
@@ -60,7 +60,7 @@
         log_message(message_type="zone:in_use", zone=zone)
 
     def keep_only(self, zones: Iterable[str]) -> None:
-        """Go by a whole reading: these zones are evacuated, and no others."""
+        """Apply a full read: these zones are evacuated, and no others."""
         wanted = set(zones)
         for zone in [each for each in self._begun_s if each not in wanted]:
             if zone not in self._kept_until_s:
@@ -68,23 +68,23 @@
         for zone in wanted:
             self.begin(zone)
 
-    # ---- questions ----
+    # ---- queries ----
 
     def is_evacuated(self, zone: str) -> bool:
-        """Tell whether servers of the zone must get no new work."""
+        """Return whether the zone is evacuated, so that its servers get no new requests."""
         return zone in self._begun_s
 
     def evacuated_for_s(self, zone: str) -> float:
-        """Return how long this process has known that the zone is evacuated; 0: it is not."""
+        """Return the seconds for which the zone has been known as evacuated; 0: it is not."""
         begun_s = self._begun_s.get(zone)
         return 0.0 if begun_s is None else self._clock.now() - begun_s
 
     def in_use_for_s(self, zone: str) -> float:
-        """Return the time since the zone's last evacuation ended; infinity: none did."""
+        """Return the seconds since the zone's last evacuation ended; infinity: none did."""
         return self._clock.now() - self._ended_s.get(zone, float("-inf"))
 
     def has_ended_within(self, duration_s: float) -> bool:
-        """Tell whether the evacuation of any zone ended so short a time ago."""
+        """Return whether the evacuation of any zone ended within `duration_s`."""
         return any(self.in_use_for_s(zone) < duration_s for zone in self._ended_s)
 
     def zones(self) -> tuple[str, ...]:
