--- a/features/steps/gateway_lagging_feed_steps.py
+++ b/features/steps/gateway_lagging_feed_steps.py
@@ -11,7 +11,7 @@
 from indigoworks.rowstore.errors import EraEnded, StoreRefused
 from indigoworks.rowstore.row import Row
 from indigoworks.rowstore.rows import Rows
-from indigoworks.rowstore.table_follower import MAX_RETRY_S, TableFollower
+from indigoworks.rowstore.table_follower import MAX_RETRY_DELAY_S, TableFollower
 from indigoworks_lab.simulation.core.manual_clock import ManualClock
 
 FIRST = 10
@@ -173,7 +173,7 @@
 def step_whole_refused(context):
     async def refuse():
         await answer(context.doubted_store.readings[-1], Err(StoreRefused("", "")))
-        await context.lagging_clock.advance(MAX_RETRY_S)
+        await context.lagging_clock.advance(MAX_RETRY_DELAY_S)
         await settle()
 
     context.run_async(refuse())
--- a/indigoworks/rowstore/__init__.py
+++ b/indigoworks/rowstore/__init__.py
@@ -1,1 +1,1 @@
-"""Port to a store of versioned rows: conditional transactions and a feed of changes."""
+"""Port to a store of versioned rows with conditional transactions and a change feed."""
--- a/indigoworks/rowstore/clock_offset.py
+++ b/indigoworks/rowstore/clock_offset.py
@@ -1,16 +1,16 @@
-"""How the store's steady clock stands to ours."""
+"""Offset between this process's clock and the store's monotonic clock."""
 
 from dataclasses import dataclass
 
 from eliot import log_message
 
 MAX_DRIFT = 0.001
-"""The two clocks run apart by no more than this share of the time that passes."""
+"""Largest drift between the two clocks, as a share of the elapsed time."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Bounds:
-    """Least and greatest possible difference, in seconds, as of `at_s` on our clock."""
+    """Least and greatest possible offset in seconds, as of `at_s` on our clock."""
 
     low_s: float
     high_s: float
@@ -22,26 +22,26 @@
 
 
 class ClockOffset:
-    """Bounds of (our clock - the store's), which each answer narrows and drift widens.
+    """Bounds of (our clock - the store's clock); responses narrow them, and drift widens them.
 
-    The store reads its clock between our question and its answer. Where that contradicts the bounds
-    so far, one of the clocks has jumped: a store process that started again, a replica, a machine
-    that was suspended. Nothing known before says anything then.
+    The store reads its clock between our request and its response. If that contradicts the known
+    bounds, one of the clocks has jumped: the store process restarted, another replica responded,
+    or a machine was suspended. The known bounds are then discarded.
     """
 
     def __init__(self) -> None:
         self._bounds: _Bounds | None = None
 
     def forget(self) -> None:
-        """Take note that the store's clock may read anything."""
+        """Discard the bounds: the store's clock may now have any reading."""
         self._bounds = None
 
     def record_reading(self, sent_s: float, received_s: float, store_s: float) -> None:
-        """Take a reading of the store's clock.
+        """Record a reading of the store's clock.
 
-        :param sent_s: our clock when the question was sent.
-        :param received_s: our clock once the answer was there; the last byte may come long after
-            the store read its clock, which leaves the bounds as wide as that.
+        :param sent_s: our clock when the request was sent.
+        :param received_s: our clock when the response was complete; if the last byte arrives long
+            after the store read its clock, the bounds are that wide.
         """
         low_s, high_s = sent_s - store_s, received_s - store_s
         if self._bounds is not None:
@@ -53,11 +53,11 @@
         self._bounds = _Bounds(low_s, high_s, received_s)
 
     def low_s(self, now_s: float) -> float | None:
-        """Return the least possible difference; None: unknown."""
+        """Return the least possible offset; None: unknown."""
         return None if self._bounds is None else self._bounds.at(now_s).low_s
 
     def high_s(self, now_s: float) -> float | None:
-        """Return the greatest possible difference; None: unknown."""
+        """Return the greatest possible offset; None: unknown."""
         return None if self._bounds is None else self._bounds.at(now_s).high_s
 
 
--- a/indigoworks/rowstore/row.py
+++ b/indigoworks/rowstore/row.py
@@ -1,4 +1,4 @@
-"""One row of the store."""
+"""Row of the store."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 class Row:
     """A row as the store held it at one version.
 
-    :ivar version: the store's version that wrote it; of a row that a copy brought back, in the era
-        in which it was read.
-    :ivar is_removed: the row was taken out at that version; its value is empty.
+    :ivar version: version of the store that wrote it; for a row from a restored copy, in the era in
+        which it was read.
+    :ivar is_removed: the row was removed at that version; its value is empty.
     """
 
     table: str
--- a/indigoworks/rowstore/row_store.py
+++ b/indigoworks/rowstore/row_store.py
@@ -1,4 +1,4 @@
-"""The port to the row store."""
+"""Port to the row store."""
 
 from typing import Protocol
 
@@ -11,16 +11,16 @@
 
 
 class RowStore(Protocol):
-    """Versioned rows; answers are linearizable, and what is acknowledged lasts as long as the era.
+    """Versioned rows with linearizable reads; acknowledged writes are durable within an era.
 
-    Each call may be answered with EraEnded: the store has come back from a copy. What was read
-    before counts as unread, and nothing of the answer was handed on.
+    Each call may return EraEnded: the store was restored from a copy. Rows that were read before
+    are then invalid, and nothing of the response was passed on.
     """
 
     async def read(self, table: str, part: str) -> Result[Rows, StoreError]:
-        """Read one part of a table whole.
+        """Read all rows of one part of a table.
 
-        :returns: StoreRefused or StoreUnreachable where there is no answer.
+        :returns: StoreRefused or StoreUnreachable if there is no response.
         """
         ...
 
@@ -29,17 +29,17 @@
     ) -> Result[Rows, StoreError]:
         """Wait for rows of any part that changed after version `after`.
 
-        :param wait_s: longest wait, in seconds; then the answer is empty.
-        :returns: the changed rows in order (removed ones too) and the version to go on from;
-            HistoryGone, also where `after` is of an earlier era; StoreRefused or StoreUnreachable
-            otherwise.
+        :param wait_s: longest wait in seconds, after which the response is empty.
+        :returns: the changed rows in order, including removed ones, and the version to follow from
+            next; HistoryGone, also if `after` is of an earlier era; StoreRefused or
+            StoreUnreachable otherwise.
         """
         ...
 
     async def commit(self, transaction: Transaction) -> Result[StoreVersion, StoreError]:
-        """Make a transaction.
+        """Commit a transaction.
 
-        :returns: the version it made; ConditionFailed or StoreRefused: nothing was written;
-            StoreUnreachable: it may have been made, or may still be.
+        :returns: the version of the commit; ConditionFailed or StoreRefused: nothing was written;
+            StoreUnreachable: it may have been applied, or may still be.
         """
         ...
--- a/indigoworks/rowstore/rows.py
+++ b/indigoworks/rowstore/rows.py
@@ -1,4 +1,4 @@
-"""What a read or a step of a feed answers."""
+"""Result of a read or of a feed call."""
 
 from dataclasses import dataclass
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rows:
-    """Rows as of one moment.
+    """Rows as of one point in time.
 
-    :ivar version: the store's newest version at that moment.
-    :ivar true_at_s: reading of our clock at which the answer was certainly true.
-    :ivar is_whole: these are all rows, also where only changed ones were asked for.
+    :ivar version: the store's newest version at that time.
+    :ivar as_of_s: reading of our clock at which the rows were certainly the newest.
+    :ivar is_whole: these are all rows, even if only changed ones were requested.
     """
 
     rows: tuple[Row, ...]
--- a/indigoworks/rowstore/store_eras.py
+++ b/indigoworks/rowstore/store_eras.py
@@ -1,4 +1,7 @@
-"""In which era the store is, as far as this process knows."""
+"""Era of the store, as far as this process knows.
+
+An era is the time between two restores of the store from a copy; a restore may lose rows.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -7,10 +10,10 @@
 
 
 class StoreEras:
-    """The newest era that anybody has named.
+    """The newest era that this process has learned of.
 
-    A new era begins here with the first word of it: an answer of the store, of a relay, or a report
-    of a peer. What was read in an earlier one may be gone from the store.
+    A new era begins here with the first message that names it: a response of the store or of a
+    relay, or a report of a peer.
 
     :ivar current: the newest known era; 0 until one is known.
     """
@@ -22,45 +25,45 @@
         self._waiting: list[asyncio.Future[None]] = []
 
     def on_new(self, listener: Callable[[], None]) -> None:
-        """Call `listener` whenever an era ends and another one begins."""
+        """Add a listener that is called when an era ends and another one begins."""
         self._listeners.append(listener)
 
     def record_era(self, era: int, told_by: str = "store") -> None:
-        """Take note that somebody has named an era.
+        """Record an era that a message names.
 
-        :param told_by: the peer that told of it, for the log.
+        :param told_by: the peer that reported it, for the log.
         """
         is_first = not self._known.is_set()
         self._known.set()
         if era <= self.current:
             return
-        before, self.current = self.current, era
+        previous, self.current = self.current, era
         log_message(
             message_type="store:era",
             level="INFO" if is_first else "WARNING",
             era=era,
-            before=None if is_first else before,
+            before=None if is_first else previous,
             told_by=told_by,
         )
         if not is_first:
             for listener in self._listeners:
                 listener()
         waiting, self._waiting = self._waiting, []
-        for begun in waiting:
-            if not begun.done():
-                begun.set_result(None)
+        for future in waiting:
+            if not future.done():
+                future.set_result(None)
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any era is known."""
+        """Return whether any era is known."""
         return self._known.is_set()
 
     async def wait_after(self, era: int) -> None:
         """Return once a later era is known."""
         while self.current <= era:
-            begun = asyncio.get_running_loop().create_future()
-            self._waiting.append(begun)
-            await begun
+            future = asyncio.get_running_loop().create_future()
+            self._waiting.append(future)
+            await future
 
     async def wait_known(self) -> None:
         """Return once any era is known."""
--- a/indigoworks/rowstore/store_version.py
+++ b/indigoworks/rowstore/store_version.py
@@ -1,16 +1,16 @@
-"""Version of a row, or of the whole store."""
+"""Version of a row or of the whole store."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class StoreVersion:
-    """Versions of a later era are newer, whatever their counters.
+    """Era and counter; versions of a later era are newer, whatever their counters.
 
-    A store that comes back from a copy gives counters out again. Only the pair tells rows apart.
+    A store that was restored from a copy reuses counters, so only the pair is unique.
 
-    :ivar era: how often the store had come back from a copy.
-    :ivar counter: rises with each transaction of an era.
+    :ivar era: how often the store was restored from a copy.
+    :ivar counter: increases with each transaction of an era.
     """
 
     era: int
@@ -21,4 +21,4 @@
 
 
 NO_VERSION = StoreVersion(0, 0)
-"""Older than every version that a store gives out."""
+"""Older than every version that a store assigns."""
--- a/indigoworks/rowstore/table_follower.py
+++ b/indigoworks/rowstore/table_follower.py
@@ -1,4 +1,4 @@
-"""Following one table of the row store."""
+"""Follows one table of the row store."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,32 +13,32 @@
 from indigoworks.rowstore.rows import Rows
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
-RETRY_S = 0.1
-"""Pause after the first call that failed."""
+RETRY_DELAY_S = 0.1
+"""Delay after the first failed call."""
 
-MAX_RETRY_S = 0.4
-"""Longest pause between calls that fail."""
+MAX_RETRY_DELAY_S = 0.4
+"""Longest delay between failed calls."""
 
 LARGE_ANSWER_BYTES = 32 * 1024
-"""Answers whose values are that large are logged: a link of 5 Mbit/s carries them for 0.05 s and
-more. At most a few come each second."""
+"""Size of values from which a response is logged: it takes a 5 Mbit/s link 0.05 s and more. At most
+a few such responses arrive each second."""
 
 
 class TableFollower:
-    """Reads a part of a table whole, then follows the table's feed; one task, for ever.
-
-    The part is read whole again after a feed whose history is gone, when the store has come back
-    from a copy, and when the follower is told to ask anew.
-
-    :param part: returns the part to follow; another one from the next whole reading on.
-    :param on_all: called with all rows of a whole reading.
-    :param on_changes: called with the changed rows of a step of the feed.
-    :param wait_s: longest wait of the next step of the feed, in seconds.
-    :param on_proof: called with the clock reading at which the store's word was certainly true.
-    :param on_failure: called after each call that failed.
-    :param pace_s: returns the shortest time from rows of the feed to its next call, in seconds, so
-        that rows which come one by one cost fewer calls. The wait is shorter by as much: a lost
-        answer is noticed as soon as without it.
+    """Reads all rows of a part of a table, then follows the table's feed, until cancelled.
+
+    All rows are read again when the feed's history is gone, when the store was restored from a
+    copy, and when a reread is requested.
+
+    :param part: returns the part to follow; a changed part applies from the next full read on.
+    :param on_all: called with all rows of a full read.
+    :param on_changes: called with the changed rows of a feed call.
+    :param wait_s: returns the longest wait of the next feed call, in seconds.
+    :param on_proof: called with the clock reading at which the rows were certainly the newest.
+    :param on_failure: called after each failed call.
+    :param pace_s: returns the shortest time in seconds from rows of the feed to its next call, so
+        that rows which arrive one by one cost fewer calls. The wait is shorter by as much, so that
+        a lost response is detected as soon as without it.
     """
 
     def __init__(
@@ -64,24 +64,24 @@
         self._on_proof = on_proof
         self._on_failure = on_failure
         self._pace_s = pace_s
-        self._rows_came_s = float("-inf")
+        self._rows_received_s = float("-inf")
         self._version: StoreVersion | None = None
         self._failures = 0
-        self._doubted = asyncio.Event()
+        self._reread_requested = asyncio.Event()
 
     @property
     def version(self) -> StoreVersion:
-        """Return the version of the store up to which all rows are known here."""
+        """Return the version of the store up to which all rows were received."""
         return self._version or NO_VERSION
 
     def request_reread(self) -> None:
-        """Ask anew: the answer that is waited for may be lost, or long in coming.
+        """Read all rows again, as the response of the feed may be lost or slow.
 
-        The part is read whole beside the step of the feed that is under way; the first answer of
-        the two counts. A feed that is far behind brings every version of a row, a whole reading the
-        newest alone; and a transfer that is under way is not thrown away before there is better.
+        The read runs beside the pending feed call, and the first response of the two is used. A
+        feed that is far behind returns every version of a row, a full read only the newest; and a
+        transfer in progress is not aborted before there is a better response.
         """
-        self._doubted.set()
+        self._reread_requested.set()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -94,52 +94,52 @@
                 log_message(message_type="store:history_gone", table=self._table, reason=error.kind)
                 self._version = None
                 if isinstance(error, HistoryGone) or self._failures == 0:
-                    # A store that goes on answering in an earlier era than peers name is paced.
+                    # Delay the calls to a store that still responds in an era before the known one.
                     self._failures += isinstance(error, EraEnded)
                     continue
             self._failures += 1
             if self._on_failure is not None:
                 self._on_failure()
-            await self._clock.sleep(min(RETRY_S * self._failures, MAX_RETRY_S))
+            await self._clock.sleep(min(RETRY_DELAY_S * self._failures, MAX_RETRY_DELAY_S))
 
     async def _step(self) -> StoreError | None:
         if self._version is None:
-            return self._take_whole(await self._read())
-        self._doubted.clear()
+            return self._apply_all(await self._read())
+        self._reread_requested.clear()
         feed = asyncio.ensure_future(self._feed(self._version))
-        whole = asyncio.ensure_future(self._read_when_doubted())
+        whole = asyncio.ensure_future(self._read_when_requested())
         try:
             await asyncio.wait({feed, whole}, return_when=asyncio.FIRST_COMPLETED)
             if whole.done():
-                return self._take_whole(whole.result())
-            return self._take_step(feed.result())
+                return self._apply_all(whole.result())
+            return self._apply_changes(feed.result())
         finally:
             feed.cancel()
             whole.cancel()
 
     async def _feed(self, after: StoreVersion) -> Result[Rows, StoreError]:
-        """Ask for changed rows, after the pause that is due."""
-        pause_s = max(0.0, self._rows_came_s + self._pace_s() - self._clock.now())
-        if pause_s > 0:
-            await self._clock.sleep(pause_s)
-        wait_s = max(0.0, self._wait_s() - pause_s)
-        asked_s = self._clock.now()
+        """Request changed rows, after the delay that `pace_s` asks for."""
+        delay_s = max(0.0, self._rows_received_s + self._pace_s() - self._clock.now())
+        if delay_s > 0:
+            await self._clock.sleep(delay_s)
+        wait_s = max(0.0, self._wait_s() - delay_s)
+        sent_s = self._clock.now()
         result = await self._store.follow(self._table, after, wait_s)
-        self._log_if_large("changes", asked_s, result)
+        self._log_if_large("changes", sent_s, result)
         return result
 
     async def _read(self) -> Result[Rows, StoreError]:
-        asked_s = self._clock.now()
+        sent_s = self._clock.now()
         result = await self._store.read(self._table, self._part())
-        self._log_if_large("whole", asked_s, result)
+        self._log_if_large("whole", sent_s, result)
         return result
 
-    def _log_if_large(self, call: str, asked_s: float, result: Result[Rows, StoreError]) -> None:
-        """Say how long a large answer was on its way: links carry it at the cost of requests."""
+    def _log_if_large(self, call: str, sent_s: float, result: Result[Rows, StoreError]) -> None:
+        """Log the transfer time of a large response, since it delays requests on the link."""
         if isinstance(result, Err):
             return
-        answer = result.unwrap()
-        value_bytes = sum(len(each.value) for each in answer.rows)
+        response = result.unwrap()
+        value_bytes = sum(len(each.value) for each in response.rows)
         if value_bytes < LARGE_ANSWER_BYTES:
             return
         now_s = self._clock.now()
@@ -147,45 +147,45 @@
             message_type="feed:large_answer",
             table=self._table,
             call=call,
-            rows=len(answer.rows),
+            rows=len(response.rows),
             value_bytes=value_bytes,
-            asked_ago_s=round(now_s - asked_s, 3),
-            true_ago_s=round(now_s - answer.as_of_s, 3),
+            asked_ago_s=round(now_s - sent_s, 3),
+            true_ago_s=round(now_s - response.as_of_s, 3),
         )
 
-    async def _read_when_doubted(self) -> Result[Rows, StoreError]:
-        """Return a whole reading, once this step of the feed is doubted and a reading succeeds."""
-        await self._doubted.wait()
+    async def _read_when_requested(self) -> Result[Rows, StoreError]:
+        """Return a full read, once one is requested during this feed call and succeeds."""
+        await self._reread_requested.wait()
         failures = 0
         while isinstance(result := await self._read(), Err):
             failures += 1
-            await self._clock.sleep(min(RETRY_S * failures, MAX_RETRY_S))
+            await self._clock.sleep(min(RETRY_DELAY_S * failures, MAX_RETRY_DELAY_S))
         return result
 
-    def _take_step(self, result: Result[Rows, StoreError]) -> StoreError | None:
+    def _apply_changes(self, result: Result[Rows, StoreError]) -> StoreError | None:
         if isinstance(result, Err):
             return result.unwrap_err()
-        answer = result.unwrap()
-        if answer.rows:
-            self._rows_came_s = self._clock.now()
-        if answer.is_whole:
-            return self._take_whole(result)
+        response = result.unwrap()
+        if response.rows:
+            self._rows_received_s = self._clock.now()
+        if response.is_whole:
+            return self._apply_all(result)
         part = self._part()
-        rows = [row for row in answer.rows if row.part == part]
+        rows = [row for row in response.rows if row.part == part]
         if rows:
             self._on_changes(rows)
-        self._note(answer)
+        self._record_version(response)
         return None
 
-    def _take_whole(self, result: Result[Rows, StoreError]) -> StoreError | None:
+    def _apply_all(self, result: Result[Rows, StoreError]) -> StoreError | None:
         if isinstance(result, Err):
             return result.unwrap_err()
-        answer = result.unwrap()
-        self._on_all(answer.rows)
-        self._note(answer)
+        response = result.unwrap()
+        self._on_all(response.rows)
+        self._record_version(response)
         return None
 
-    def _note(self, answer: Rows) -> None:
-        self._version = max(self.version, answer.version)
+    def _record_version(self, response: Rows) -> None:
+        self._version = max(self.version, response.version)
         if self._on_proof is not None:
-            self._on_proof(answer.as_of_s)
+            self._on_proof(response.as_of_s)
--- a/indigoworks/rowstore/transaction.py
+++ b/indigoworks/rowstore/transaction.py
@@ -1,16 +1,16 @@
-"""A change of several rows that is made whole or not at all."""
+"""Atomic change of several rows."""
 
 from dataclasses import dataclass
 
 from indigoworks.rowstore.store_version import NO_VERSION, StoreVersion
 
 ABSENT = NO_VERSION
-"""Expected version of a row that must not be there."""
+"""Expected version of a row that must not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedVersion:
-    """A row that must have `version` (ABSENT: must not be there) for the transaction to be made."""
+    """Condition of a transaction: the row must have `version` (ABSENT: must not exist)."""
 
     table: str
     key: str
@@ -30,7 +30,7 @@
 class Transaction:
     """Conditions and writes within one part, at most 100 together.
 
-    :ivar era: era of the store for which it is meant; it is not sent in another one.
+    :ivar era: era of the store in which it is valid; it is not sent in another one.
     """
 
     era: int
