--- a/indigoworks/backend/backend_control.py
+++ b/indigoworks/backend/backend_control.py
@@ -16,11 +16,11 @@
     async def read_status(
         self, address: Address, timeout_s: float
     ) -> Result[BackendStatus, BackendError]:
-        """Return the server's status without changing it."""
+        """Read the server's status without changing it."""
         ...
 
     async def renew(
         self, address: Address, renewal: LeaseRenewal, timeout_s: float
     ) -> Result[BackendStatus, BackendError]:
-        """Renew the lease and set the grants; BackendRefused when the server declined."""
+        """Renew the lease and set the grants; BackendRefused if the server refused."""
         ...
--- a/indigoworks/backend/backend_requests.py
+++ b/indigoworks/backend/backend_requests.py
@@ -16,10 +16,10 @@
     async def send(
         self, address: Address, request: OwnedRequest
     ) -> Result[BackendResponse, BackendError]:
-        """Send one request and wait for its whole answer, at most `remaining_s` seconds.
+        """Send one request and wait for its complete response, at most `remaining_s` seconds.
 
         :returns: BackendUnreachable only when no byte of the request reached the server;
             BackendAnswerLost when it may have run. Cancelling the call closes its connection,
-            which the server takes as cancellation.
+            which cancels the request at the server.
         """
         ...
--- a/indigoworks/backend/backend_status.py
+++ b/indigoworks/backend/backend_status.py
@@ -1,4 +1,4 @@
-"""What a back end tells a controller."""
+"""Status that a back end reports to a controller."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True)
 class BackendStatus:
-    """Answer of a back end to a status read or a renewal.
+    """Response of a back end to a status read or a lease renewal.
 
-    :ivar clock_s: reading of the server's monotonic clock when it answered.
-    :ivar generation, grants_version: newest grants it has taken.
-    :ivar released: ranges asked to be released on which nothing runs any more.
-    :ivar is_draining: the server was told by its operator to stop; it wants no new work.
+    :ivar clock_s: reading of the server's monotonic clock when it responded.
+    :ivar generation, grants_version: newest grants that it has applied.
+    :ivar released: ranges to be released on which no request runs any more.
+    :ivar is_draining: the server's operator is stopping it; it wants no new requests.
     """
 
     name: str
--- a/indigoworks/backend/errors.py
+++ b/indigoworks/backend/errors.py
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True)
 class BackendUnreachable(BackendError):
-    """No connection: the request never reached the server."""
+    """No connection was made: the request never reached the server."""
 
     kind: ClassVar[str] = "backend_unreachable"
 
 
 @dataclass(frozen=True)
 class BackendAnswerLost(BackendError):
-    """The answer is missing or cut short: the server may have run the request."""
+    """The response is missing or truncated: the server may have run the request."""
 
     kind: ClassVar[str] = "backend_answer_lost"
 
 
 @dataclass(frozen=True)
 class BackendRefused(BackendError):
-    """The server refused a renewal: other incarnation, or older grants than it holds."""
+    """The server refused a renewal for another incarnation, or with older grants than its own."""
 
     kind: ClassVar[str] = "backend_refused"
--- a/indigoworks/backend/granted_range.py
+++ b/indigoworks/backend/granted_range.py
@@ -1,4 +1,4 @@
-"""A range as granted to a back end."""
+"""Range of keys granted to a back end."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 class GrantedRange:
     """Range [start, end], both ends included, granted under a fencing token.
 
-    :ivar is_releasing: the server must refuse new work on the range, finish what runs, and
+    :ivar is_releasing: the server must refuse new requests for the range, finish running ones, and
         then report the range as released.
     """
 
--- a/indigoworks/backend/http_backend_control.py
+++ b/indigoworks/backend/http_backend_control.py
@@ -19,7 +19,7 @@
 STATUS_PATH = "/control/status"
 LEASE_PATH = "/control/lease"
 CONNECTIONS_PER_SERVER = 2
-"""One for renewals, one for a status read beside them."""
+"""One for renewals, one for concurrent status reads."""
 
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
@@ -55,32 +55,32 @@
     async def _exchange(
         self, address: Address, message: HttpMessage, timeout_s: float
     ) -> Result[BackendStatus, BackendError]:
-        sent = await self._sender.send(address, lambda: message, timeout_s)
-        if sent.is_err():
-            return Err(sent.unwrap_err())
-        return _status_of(address, sent.unwrap())
+        result = await self._sender.send(address, lambda: message, timeout_s)
+        if result.is_err():
+            return Err(result.unwrap_err())
+        return _status_of(address, result.unwrap())
 
 
-def _status_of(address: Address, answer: HttpResponse) -> Result[BackendStatus, BackendError]:
-    if answer.status == HTTPStatus.CONFLICT:
-        return Err(_refused(address, answer))
-    if answer.status != HTTPStatus.OK:
-        return Err(_unusable(address))
+def _status_of(address: Address, response: HttpResponse) -> Result[BackendStatus, BackendError]:
+    if response.status == HTTPStatus.CONFLICT:
+        return Err(_refused(address, response))
+    if response.status != HTTPStatus.OK:
+        return Err(_invalid_response(address))
     try:
-        return Ok(HttpStatusModel.model_validate_json(answer.body).to_status())
+        return Ok(HttpStatusModel.model_validate_json(response.body).to_status())
     except ValidationError:
-        return Err(_unusable(address))
+        return Err(_invalid_response(address))
 
 
-def _refused(address: Address, answer: HttpResponse) -> BackendRefused:
-    reason = answer.body.decode("utf-8", "replace")
+def _refused(address: Address, response: HttpResponse) -> BackendRefused:
+    reason = response.body.decode("utf-8", "replace")
     return BackendRefused(
         f"The back end at {address} refused the renewal: {reason}",
         "Read its status and renew with its incarnation and the newest grants.",
     )
 
 
-def _unusable(address: Address) -> BackendAnswerLost:
+def _invalid_response(address: Address) -> BackendAnswerLost:
     return BackendAnswerLost(
         f"The back end at {address} gave no usable status.",
         "Check that a server of the back-end contract listens at that address.",
--- a/indigoworks/backend/http_backend_requests.py
+++ b/indigoworks/backend/http_backend_requests.py
@@ -17,7 +17,7 @@
 from indigoworks.common.clock import Clock
 
 CONNECTIONS_PER_SERVER = 8
-"""Default bound of connections from one router to one server: of about 100 that it accepts."""
+"""Default limit of connections from one router to one server, which accepts about 100 in all."""
 
 STATUS_WRONG_OWNER = HTTPStatus.MISDIRECTED_REQUEST
 STATUS_SHED = HTTPStatus.SERVICE_UNAVAILABLE
@@ -49,16 +49,16 @@
     async def send(
         self, address: Address, request: OwnedRequest
     ) -> Result[BackendResponse, BackendError]:
-        """Send one request and wait for its whole answer; see BackendRequests.send."""
+        """Send one request and wait for its complete response; see BackendRequests.send."""
         deadline_s = self._clock.now() + request.remaining_s
 
         def build() -> HttpMessage:
             return _message(request, deadline_s - self._clock.now())
 
-        sent = await self._sender.send(address, build, request.remaining_s)
-        if sent.is_err():
-            return Err(sent.unwrap_err())
-        return _checked(address, request, sent.unwrap())
+        result = await self._sender.send(address, build, request.remaining_s)
+        if result.is_err():
+            return Err(result.unwrap_err())
+        return _checked(address, request, result.unwrap())
 
     def forget(self, address: Address) -> None:
         """Close the idle connections to a server that left."""
@@ -80,40 +80,40 @@
         (names.INCARNATION, request.server_incarnation),
         (names.DEADLINE_MS, str(max(0, int(remaining_s * MS_PER_S)))),
     )
-    passed_on = end_to_end_headers(request.headers)
-    # A caller cannot smuggle in a grant: the headers of the contract are only ours.
-    callers = tuple(pair for pair in passed_on if pair[0].lower() not in _CONTRACT_HEADERS)
+    end_to_end = end_to_end_headers(request.headers)
+    # The contract's headers of a caller are dropped, so that it cannot forge a grant.
+    callers = tuple(pair for pair in end_to_end if pair[0].lower() not in _CONTRACT_HEADERS)
     return HttpMessage(request.method, request.path, contract + callers, request.body)
 
 
 def _checked(
-    address: Address, request: OwnedRequest, answer: HttpResponse
+    address: Address, request: OwnedRequest, response: HttpResponse
 ) -> Result[BackendResponse, BackendError]:
-    if answer.header(names.REQUEST_ID) != request.request_id:
-        return Err(_foreign_answer(address))
-    return Ok(_backend_answer(answer))
+    if response.header(names.REQUEST_ID) != request.request_id:
+        return Err(_mismatched_response(address))
+    return Ok(_to_backend_response(response))
 
 
-def _backend_answer(answer: HttpResponse) -> BackendResponse:
-    is_shed = answer.status == STATUS_SHED and answer.header(names.SHED) is not None
+def _to_backend_response(response: HttpResponse) -> BackendResponse:
+    is_shed = response.status == STATUS_SHED and response.header(names.SHED) is not None
     return BackendResponse(
-        status=answer.status,
-        headers=end_to_end_headers(answer.headers),
-        body=answer.body,
-        is_wrong_owner=answer.status == STATUS_WRONG_OWNER,
+        status=response.status,
+        headers=end_to_end_headers(response.headers),
+        body=response.body,
+        is_wrong_owner=response.status == STATUS_WRONG_OWNER,
         is_shed=is_shed,
-        retry_after_s=_retry_after_s(answer) if is_shed else 0.0,
+        retry_after_s=_retry_after_s(response) if is_shed else 0.0,
     )
 
 
-def _retry_after_s(answer: HttpResponse) -> float:
+def _retry_after_s(response: HttpResponse) -> float:
     try:
-        return max(0.0, float(answer.header(names.RETRY_AFTER) or ""))
+        return max(0.0, float(response.header(names.RETRY_AFTER) or ""))
     except ValueError:
         return DEFAULT_RETRY_AFTER_S
 
 
-def _foreign_answer(address: Address) -> BackendAnswerLost:
+def _mismatched_response(address: Address) -> BackendAnswerLost:
     return BackendAnswerLost(
         f"The back end at {address} answered another request than the one sent.",
         "Check that the server echoes Indigoworks-Request-Id and answers in order.",
--- a/indigoworks/backend/http_connection.py
+++ b/indigoworks/backend/http_connection.py
@@ -1,4 +1,4 @@
-"""One persistent HTTP connection to a back end."""
+"""Persistent HTTP connection to a back end."""
 
 import socket
 
@@ -13,28 +13,28 @@
 from indigoworks.common.address import Address
 
 MAX_HEADERS_BYTES = 64 * 1024
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
 class HttpConnection:
     """Sends requests to one server, one at a time, and never sends one twice.
 
-    The HTTP library's own clients hide whether a request was sent, or send it again on their own;
-    here the caller sees each step.
+    The HTTP library's own clients hide whether a request was sent, or retry it on their own; here
+    the caller controls each step.
     """
 
     def __init__(self, address: Address) -> None:
         self._address = address
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         self._stream = IOStream(
-            socket.socket(family, socket.SOCK_STREAM), max_buffer_size=MAX_ANSWER_BYTES
+            socket.socket(family, socket.SOCK_STREAM), max_buffer_size=MAX_RESPONSE_BYTES
         )
         self._parameters = HTTP1ConnectionParameters(
-            max_header_size=MAX_HEADERS_BYTES, max_body_size=MAX_ANSWER_BYTES
+            max_header_size=MAX_HEADERS_BYTES, max_body_size=MAX_RESPONSE_BYTES
         )
 
     async def connect(self) -> bool:
-        """Connect; False where no connection came about."""
+        """Connect; False if that failed."""
         try:
             await self._stream.connect((self._address.host, self._address.port))
         except (OSError, StreamClosedError):
@@ -43,34 +43,36 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether neither side is known to have closed the connection."""
+        """Return whether neither side is known to have closed the connection."""
         return not self._stream.closed()
 
     def watch_while_idle(self) -> None:
-        """Notice a close by the server while no request is under way."""
-        # A stream without a close callback and without a read does not listen to its socket.
+        """Detect when the server closes the connection while it is idle."""
+        # A stream without a close callback and without a pending read does not poll its socket.
         self._stream.set_close_callback(_ignore_close)
 
-    async def exchange(self, message: HttpMessage, watch: TransferDeadline) -> HttpResponse | None:
-        """Send `message` and read its answer.
+    async def exchange(
+        self, message: HttpMessage, deadline: TransferDeadline
+    ) -> HttpResponse | None:
+        """Send `message` and read its response.
 
-        The connection is closed afterwards unless it can take another request; cancelling the
-        call closes it too.
+        The connection is closed afterwards unless it can be reused; cancelling the call closes it
+        too.
 
-        :param watch: told of each part of the answer as it comes.
-        :returns: None where the answer is not whole: the server may have run the request.
+        :param deadline: extended with each part of the response that arrives.
+        :returns: None if the response is incomplete: the server may have run the request.
         """
-        reader = HttpResponseReader(message.method, watch)
-        can_continue = False
+        reader = HttpResponseReader(message.method, deadline)
+        is_reusable = False
         try:
             await self._write_and_read(message, reader)
-            answer = reader.complete_response()
-            can_continue = answer is not None and reader.keeps_connection
-            return answer
+            response = reader.complete_response()
+            is_reusable = response is not None and reader.keeps_connection
+            return response
         except (OSError, StreamClosedError):
             return None
         finally:
-            if not can_continue:
+            if not is_reusable:
                 self.close()
 
     def close(self) -> None:
@@ -90,9 +92,9 @@
         headers.add("Host", str(self._address))
         headers.add("Content-Length", str(len(message.body)))
         for name, value in message.headers:
-            # add() checks the characters anew with two regular expressions: most of its cost. Names
-            # and values come from this code or were checked when they were received, and line ends
-            # are refused again when the headers are written.
+            # add() validates the characters again with two regular expressions, most of its cost.
+            # Names and values come from this code or were validated when they were received, and
+            # line ends are rejected again when the headers are written.
             if name in headers:
                 headers.add(name, value)
             else:
@@ -101,4 +103,4 @@
 
 
 def _ignore_close() -> None:
-    """Serve as close callback: `is_open` tells the rest."""
+    """Serve as close callback, which makes the stream poll its socket for `is_open`."""
--- a/indigoworks/backend/http_connection_pool.py
+++ b/indigoworks/backend/http_connection_pool.py
@@ -1,4 +1,4 @@
-"""A bounded number of persistent connections to one back end."""
+"""Pool of persistent connections to one back end."""
 
 import asyncio
 from collections import deque
@@ -9,11 +9,11 @@
 from indigoworks.common.clock import Clock
 
 MAX_IDLE_S = 30.0
-"""Idle connections older than this are not used again: the server may be closing them."""
+"""Idle time after which a connection is not reused: the server may be closing it."""
 
 
 class HttpConnectionPool:
-    """Lends connections to one server; at most `limit` are in use at a time, others wait."""
+    """Lends connections to one server; at most `limit` are in use, and further callers wait."""
 
     def __init__(self, address: Address, limit: int, clock: Clock) -> None:
         self._address = address
@@ -22,9 +22,9 @@
         self._idle: deque[HttpIdleConnection] = deque()
 
     async def acquire(self) -> HttpConnection | None:
-        """Wait for a free place and return a connection, or None where connecting failed.
+        """Wait for a free slot and return a connection, or None if connecting failed.
 
-        Every connection that is returned must be given back by `release`.
+        Every connection that is returned must be returned to the pool by `release`.
         """
         await self._permits.acquire()
         connection = self._take_idle()
@@ -37,7 +37,7 @@
             raise
 
     def release(self, connection: HttpConnection) -> None:
-        """Take back a connection; one that is still open is kept for the next request."""
+        """Return a connection to the pool; if it is still open, it is kept for the next request."""
         if connection.is_open:
             connection.watch_while_idle()
             self._idle.append(HttpIdleConnection(connection, self._clock.now()))
@@ -51,7 +51,7 @@
     def _take_idle(self) -> HttpConnection | None:
         earliest_s = self._clock.now() - MAX_IDLE_S
         while self._idle:
-            # The one used last is the least likely to be closed by the server.
+            # The most recently used one is the least likely to be closed by the server.
             idle = self._idle.pop()
             if idle.connection.is_open and idle.idle_since_s >= earliest_s:
                 return idle.connection
--- a/indigoworks/backend/http_header_filter.py
+++ b/indigoworks/backend/http_header_filter.py
@@ -1,4 +1,4 @@
-"""Which headers travel end to end."""
+"""Filters hop-by-hop headers."""
 
 from collections.abc import Iterable
 
@@ -19,14 +19,14 @@
         "upgrade",
     }
 )
-"""Lower-case names that belong to one connection; the length is set anew, as bodies are read
-whole."""
+"""Lower-case names of headers that apply to one connection only; the length is set again, as bodies
+are read completely."""
 
 HOST = "host"
 
 
 def without_hop_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return `headers` without those of one hop, and without those that `Connection` names."""
+    """Return `headers` without hop-by-hop ones, and without those that `Connection` names."""
     kept: list[tuple[str, str]] = []
     named: set[str] = set()
     for pair in headers:
@@ -39,5 +39,5 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return `headers` without those of one hop and without `Host`, which is written anew."""
+    """Return `headers` without hop-by-hop ones and without `Host`, which is set again."""
     return tuple(pair for pair in without_hop_headers(headers) if pair[0].lower() != HOST)
--- a/indigoworks/backend/http_header_names.py
+++ b/indigoworks/backend/http_header_names.py
@@ -1,7 +1,7 @@
 """Names of the HTTP headers of the back-end contract."""
 
 REQUEST_ID = "Indigoworks-Request-Id"
-"""Id of the request; an answer echoes it."""
+"""Id of the request; the response echoes it."""
 
 SERVICE = "Indigoworks-Service"
 
@@ -19,10 +19,10 @@
 INCARNATION = "Indigoworks-Incarnation"
 
 DEADLINE_MS = "Indigoworks-Deadline-Ms"
-"""Milliseconds left until the deadline, counted from the sending of the request."""
+"""Milliseconds left until the deadline when the request is sent."""
 
 SHED = "Indigoworks-Shed"
-"""Present on a 503 answer when the server declined for load and ran nothing."""
+"""Present on a 503 response if the server rejected the request for overload and did not run it."""
 
 RETRY_AFTER = "Retry-After"
-"""Seconds, decimal; fractions are allowed between the programs of one installation."""
+"""Seconds, decimal; between the programs of one installation fractions are allowed."""
--- a/indigoworks/backend/http_idle_connection.py
+++ b/indigoworks/backend/http_idle_connection.py
@@ -1,4 +1,4 @@
-"""A connection that waits for its next request."""
+"""Idle connection in a pool."""
 
 from dataclasses import dataclass
 
--- a/indigoworks/backend/http_message.py
+++ b/indigoworks/backend/http_message.py
@@ -1,11 +1,11 @@
-"""A request to a back end as an HTTP message."""
+"""HTTP request to a back end."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class HttpMessage:
-    """Method, path with query, headers and whole body; Host and Content-Length are added."""
+    """Method, path with query, headers and complete body; Host and Content-Length are added."""
 
     method: str
     path: str
--- a/indigoworks/backend/http_range_model.py
+++ b/indigoworks/backend/http_range_model.py
@@ -9,11 +9,11 @@
 HEXADECIMAL = 16
 
 KeyPositionText = Annotated[str, StringConstraints(pattern=r"^0x[0-9a-f]{16}$")]
-"""A place in the 64-bit key space as text: JSON numbers lose digits above 2**53."""
+"""Position in the 64-bit key space as text: JSON numbers lose precision above 2**53."""
 
 
 class HttpRangeModel(BaseModel):
-    """A granted range; the ends are text of the form 0x0123456789abcdef."""
+    """A granted range; its ends are text of the form 0x0123456789abcdef."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -33,7 +33,7 @@
         )
 
     def to_range(self) -> GrantedRange:
-        """Return the range that this is the JSON form of."""
+        """Return the range of this JSON form."""
         return GrantedRange(
             start=int(self.start, HEXADECIMAL),
             end=int(self.end, HEXADECIMAL),
--- a/indigoworks/backend/http_renewal_model.py
+++ b/indigoworks/backend/http_renewal_model.py
@@ -7,7 +7,7 @@
 
 
 class HttpRenewalModel(BaseModel):
-    """Body of PUT /control/lease. A field that the server does not know is refused."""
+    """Body of PUT /control/lease. Unknown fields are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -32,7 +32,7 @@
         )
 
     def to_renewal(self) -> LeaseRenewal:
-        """Return the renewal that this is the JSON form of."""
+        """Return the renewal of this JSON form."""
         ranges = self.ranges
         return LeaseRenewal(
             incarnation=self.incarnation,
--- a/indigoworks/backend/http_response.py
+++ b/indigoworks/backend/http_response.py
@@ -1,4 +1,4 @@
-"""A whole HTTP answer."""
+"""Complete HTTP response."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,9 +6,9 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """Status, headers as received and whole body.
+    """Status, headers as received and complete body.
 
-    :ivar headers_s: clock reading when status and headers had come; not a number: not noted.
+    :ivar headers_s: clock reading when status and headers had arrived; NaN: not recorded.
     """
 
     status: int
@@ -17,7 +17,7 @@
     headers_s: float = field(default=math.nan, compare=False)
 
     def header(self, name: str) -> str | None:
-        """Return the first value of header `name`, whatever its case, or None."""
+        """Return the first value of header `name`, compared without case, or None."""
         for each, value in self.headers:
             if each.lower() == name.lower():
                 return value
--- a/indigoworks/backend/http_sender.py
+++ b/indigoworks/backend/http_sender.py
@@ -1,4 +1,4 @@
-"""Sends HTTP messages to back ends and classifies what became of them."""
+"""Sends HTTP requests to back ends and classifies their failures."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 from indigoworks.common.clock import Clock
 
 MessageBuilder = Callable[[], HttpMessage]
-"""Makes the message when a connection is at hand, so that remaining times are true."""
+"""Builds the request once a connection is available, so that remaining times are correct."""
 
 
 class HttpSender:
-    """Sends each message at most once, over a bounded number of connections per server."""
+    """Sends each request at most once, over a bounded number of connections per server."""
 
     def __init__(self, clock: Clock, connections_per_server: int) -> None:
         self._clock = clock
@@ -33,12 +33,12 @@
         timeout_s: float,
         transfer: TransferLimits | None = None,
     ) -> Result[HttpResponse, BackendError]:
-        """Send one message and wait for its whole answer.
+        """Send one request and wait for its complete response.
 
-        :param timeout_s: seconds for waiting, connecting, sending and the answer together; with
-            `transfer`, for all that up to the answer's headers.
-        :param transfer: limits of the rest of an answer whose length grows, where a slow link may
-            need longer for it than a server that is lost may be waited for.
+        :param timeout_s: seconds for waiting, connecting, sending and the response together; with
+            `transfer`, for all that up to the response's headers.
+        :param transfer: limits of the rest of a large response, for which a slow link may need
+            longer than the time after which a server counts as lost.
         :returns: BackendUnreachable only when no byte was sent, otherwise BackendAnswerLost.
         """
         if timeout_s <= 0:
@@ -53,17 +53,17 @@
                 try:
                     message = build()
                     is_sent = True
-                    answer = await connection.exchange(
+                    response = await connection.exchange(
                         message, TransferDeadline(self._clock, limit, transfer)
                     )
                 finally:
                     pool.release(connection)
         except TimeoutError:
             return Err(_answer_lost(address) if is_sent else _unreachable(address))
-        return Ok(answer) if answer is not None else Err(_answer_lost(address))
+        return Ok(response) if response is not None else Err(_answer_lost(address))
 
     def forget(self, address: Address) -> None:
-        """Close the idle connections to `address`, which left the installation."""
+        """Close the idle connections to a server that left."""
         pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close()
@@ -90,6 +90,6 @@
 
 def _answer_lost(address: Address) -> BackendAnswerLost:
     return BackendAnswerLost(
-        f"The back end at {address} gave no whole answer in time; it may have run the request.",
-        "Read back what the request was to change before you send it again.",
+        f"The back end at {address} gave no complete response; it may have run the request.",
+        "Check whether the request took effect before you send it again.",
     )
--- a/indigoworks/backend/http_status_model.py
+++ b/indigoworks/backend/http_status_model.py
@@ -7,7 +7,7 @@
 
 
 class HttpStatusModel(BaseModel):
-    """Body of the answers under /control/ of a back end. Unknown fields are ignored."""
+    """Body of a back end's responses under /control/. Unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -41,7 +41,7 @@
         )
 
     def to_status(self) -> BackendStatus:
-        """Return the status that this is the JSON form of."""
+        """Return the status of this JSON form."""
         return BackendStatus(
             name=self.name,
             incarnation=self.incarnation,
--- a/indigoworks/backend/owned_request.py
+++ b/indigoworks/backend/owned_request.py
@@ -1,14 +1,14 @@
-"""A request as sent to the owner of its key."""
+"""Request to the owner of its key."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class OwnedRequest:
-    """A caller's request with the grant it is sent under.
+    """A caller's request, with the grant under which it is sent.
 
     :ivar headers: end-to-end headers only, as (name, value).
-    :ivar remaining_s: seconds left until the deadline; travels to the server.
+    :ivar remaining_s: seconds left until the deadline, which are sent to the server.
     """
 
     request_id: str
@@ -26,7 +26,7 @@
     remaining_s: float
 
     def with_remaining(self, remaining_s: float) -> "OwnedRequest":
-        """Return the same request with another time left. Cheaper than `dataclasses.replace`."""
+        """Return a copy with another remaining time; cheaper than `dataclasses.replace`."""
         return OwnedRequest(
             self.request_id,
             self.service,
--- a/indigoworks/backend/transfer_deadline.py
+++ b/indigoworks/backend/transfer_deadline.py
@@ -1,4 +1,4 @@
-"""Moves the limit of one exchange on while its answer comes."""
+"""Extends the timeout of an HTTP exchange while its response arrives."""
 
 import asyncio
 import math
@@ -8,35 +8,37 @@
 
 
 class TransferDeadline:
-    """Told of each part of an answer as soon as it is read.
+    """Reschedules a timeout with each part of a response that is read.
 
-    The HTTP library hands over what has come as soon as it would have to wait for more, so that
-    the size of its chunks (64 KiB at most) does not hide progress on a slow link.
+    The HTTP library passes received data on as soon as it would have to wait for more, so that the
+    size of its chunks (64 KiB at most) does not hide progress on a slow link.
 
-    :param limit: ends the exchange; as it was made it stands until the headers have come.
-    :param limits: what follows it; None: the limit stays as it was made.
+    :param timeout: ends the exchange; unchanged until the headers have arrived.
+    :param limits: limits after the headers; None: the timeout stays unchanged.
     """
 
-    def __init__(self, clock: Clock, limit: asyncio.Timeout, limits: TransferLimits | None) -> None:
+    def __init__(
+        self, clock: Clock, timeout: asyncio.Timeout, limits: TransferLimits | None
+    ) -> None:
         self._clock = clock
-        self._limit = limit
+        self._timeout = timeout
         self._limits = limits
-        self._latest_s = math.inf
+        self._total_until_s = math.inf
         self.headers_s = math.nan
-        """Reading of the clock when status and headers had come; not a number before."""
+        """Clock reading when status and headers had arrived; NaN before."""
 
     def headers_received(self) -> None:
-        """Take note of status and headers of the answer."""
+        """Record the arrival of status and headers."""
         self.headers_s = self._clock.now()
         if self._limits is not None:
-            self._latest_s = asyncio.get_running_loop().time() + self._limits.total_timeout_s
-            self._wait_on(self._limits)
+            self._total_until_s = asyncio.get_running_loop().time() + self._limits.total_timeout_s
+            self._extend(self._limits)
 
     def chunk_received(self) -> None:
-        """Take note of a piece of the body."""
+        """Record the arrival of a chunk of the body."""
         if self._limits is not None:
-            self._wait_on(self._limits)
+            self._extend(self._limits)
 
-    def _wait_on(self, limits: TransferLimits) -> None:
-        silent_s = asyncio.get_running_loop().time() + limits.idle_timeout_s
-        self._limit.reschedule(min(silent_s, self._latest_s))
+    def _extend(self, limits: TransferLimits) -> None:
+        idle_until_s = asyncio.get_running_loop().time() + limits.idle_timeout_s
+        self._timeout.reschedule(min(idle_until_s, self._total_until_s))
--- a/indigoworks/backend/transfer_limits.py
+++ b/indigoworks/backend/transfer_limits.py
@@ -1,16 +1,16 @@
-"""Limits of an answer that is long in coming."""
+"""Time limits of a slow response."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TransferLimits:
-    """How long an answer may take from its headers on; how large it is does not matter.
+    """Time limits of a response after its headers, independent of its size.
 
-    :ivar silence_s: longest time, in seconds, from the headers to the first piece of the body, and
-        from one piece to the next.
-    :ivar whole_s: longest time, in seconds, from the headers to the last byte: it ends an answer
-        that trickles without end.
+    :ivar idle_timeout_s: longest time in seconds from the headers to the first chunk of the body,
+        and from one chunk to the next.
+    :ivar total_timeout_s: longest time in seconds from the headers to the last byte; ends a
+        response that trickles without end.
     """
 
     idle_timeout_s: float
