--- a/features/steps/control_log_broken_rules.py
+++ b/features/steps/control_log_broken_rules.py
@@ -14,7 +14,7 @@
 from indigoworks.platform.row_write import RowWrite
 from indigoworks.wire.control_pb2 import FollowReply, LeaderRow
 
-_SOUND_TAKE = LeaderFollower._take
+_SOUND_TAKE = LeaderFollower._apply
 _SOUND_WRITE = LogRows.write
 
 
@@ -23,7 +23,7 @@
 ) -> bool:
     sent_at_s = tenure._clock.now()
     written = await tenure._rows.write(row, tenure.version, others)
-    return tenure._note_written(row, sent_at_s) if written.is_ok() else tenure.is_running()
+    return tenure._record_write(row, sent_at_s) if written.is_ok() else tenure.is_running()
 
 
 async def _read_nothing(_rows: LogRows, _replica: Any, _row: LeaderRow) -> bool:
@@ -69,10 +69,10 @@
     "a new leader does not read the rows": [(LogRows, "catch_up", _read_nothing)],
     "a write takes no account of the version": [(LogRows, "write", _write_over)],
     "a follower takes the arrival of an answer for its confirmation": [
-        (LeaderFollower, "_take", _take_at_arrival)
+        (LeaderFollower, "_apply", _take_at_arrival)
     ],
     "a leader that stops does not give its row up": [(ControlLogNode, "stop", _stop_at_once)],
-    "a lost answer is not settled": [(LeaderTenure, "_stands", _take_for_done)],
+    "a lost answer is not settled": [(LeaderTenure, "_took_effect", _take_for_done)],
 }
 
 
--- a/indigoworks/controllog/__init__.py
+++ b/indigoworks/controllog/__init__.py
@@ -1,1 +1,1 @@
-"""A replicated log in rows of the table service, with one leader by a lease there."""
+"""Replicated log in rows of the table service, with one leader elected by a lease there."""
--- a/indigoworks/controllog/change_signal.py
+++ b/indigoworks/controllog/change_signal.py
@@ -1,16 +1,16 @@
-"""Waking tasks that wait for a change."""
+"""Signal that wakes tasks which wait for a change."""
 
 import asyncio
 
 
 class ChangeSignal:
-    """Wakes every task that waits when something changed. Waiters check their condition again."""
+    """Wakes all waiting tasks after a change; they must check their condition again."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake the tasks that wait now."""
+        """Wake all tasks that are waiting."""
         self._event.set()
         self._event = asyncio.Event()
 
--- a/indigoworks/controllog/control_log_node.py
+++ b/indigoworks/controllog/control_log_node.py
@@ -1,4 +1,4 @@
-"""One node of a control group."""
+"""Node of a control group."""
 
 import asyncio
 
@@ -24,9 +24,9 @@
 
 
 class ControlLogNode:
-    """Leads the group while it holds the leader's row, and follows else.
+    """Leads the group while it holds the leader's row, and follows the leader otherwise.
 
-    The owner feeds it request frames through `handle` and runs `run` as a task.
+    The owner passes request frames to `handle` and runs `run` as a task.
     """
 
     def __init__(
@@ -44,16 +44,18 @@
         self._timing = timing
         self._rows = LogRows(table, group_id, timing.ring_rows)
         self._replica = LogReplica(state, timing.kept_entries)
-        self._watch = LeaderLeaseMonitor(member, clock, timing.lease_s)
+        self._lease_monitor = LeaderLeaseMonitor(member, clock, timing.lease_s)
         self._follows = FollowService(member, self._replica, clock, timing)
-        self._follower = LeaderFollower(member, group_id, self._replica, self._watch, clock, timing)
+        self._follower = LeaderFollower(
+            member, group_id, self._replica, self._lease_monitor, clock, timing
+        )
         self._tenure: LeaderTenure | None = None
         self._epoch = 0
         self._is_stopping = False
         self._running: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Follow and lead until stopped or cancelled."""
+        """Follow or lead until stopped or cancelled."""
         self._running = asyncio.ensure_future(self._run())
         try:
             await asyncio.wait([self._running])
@@ -63,7 +65,7 @@
             self._running.cancel()
 
     async def stop(self) -> None:
-        """Give leadership up and end `run`, within `give_up_s` and one call to the store."""
+        """Resign and end `run`, within `resign_timeout_s` and one call to the store."""
         self._is_stopping = True
         running = self._running
         if running is None:
@@ -80,12 +82,12 @@
             return other_group(frame.group_id)
         payload = frame.WhichOneof("payload")
         if payload == "follow_request":
-            return await self._follows.answer(frame.follow_request, self._tenure)
+            return await self._follows.respond(frame.follow_request, self._tenure)
         return unknown_request(payload or "")
 
     @property
     def status(self) -> LogStatus:
-        """Role, epoch, leader, index and members at this moment."""
+        """Current role, epoch, leader, index and members."""
         is_leader = self._tenure is not None and self._tenure.holds_lease()
         return LogStatus(
             member=self._member,
@@ -100,26 +102,26 @@
     async def propose(self, command: Command) -> Result[int, ControlLogError]:
         """Commit a command; only a leader can.
 
-        :returns: log index, once the command is committed and applied here; NotLeader when it
-            was not written and never takes effect; OutcomeUnknown when the lease ended before
-            the write was known to stand.
+        :returns: log index, once the command is committed and applied here; NotLeader if it was
+            not written and never takes effect; OutcomeUnknown if the lease ended before the write
+            was confirmed.
         """
         if self._tenure is None:
             return Err(not_leader(self._follower.leader))
         return await self._tenure.propose(command)
 
     def holds_lease(self) -> bool:
-        """Tell whether this node leads, nobody else can, and it has applied all committed."""
+        """Return whether this node leads, no other can, and it has applied all commits."""
         return self._tenure is not None and self._tenure.holds_lease()
 
     def can_commit(self) -> bool:
-        """Tell whether this node leads and the store has answered it within the last moments."""
+        """Return whether this node leads and the store has accepted its recent writes."""
         return self._tenure is not None and self._tenure.can_commit()
 
     def confirmed_at_s(self) -> float | None:
-        """Return the own clock reading as of which the applied state was confirmed current.
+        """Return the clock reading as of which the applied state was confirmed current.
 
-        For a leader under its lease that is now; None before anything was confirmed.
+        For a leader with a lease that is now; None before the first confirmation.
         """
         if self.holds_lease():
             self._replica.confirm(self._clock.now())
@@ -128,7 +130,7 @@
     async def wait_applied(self, after_index: int, timeout_s: float) -> int:
         """Wait until an index greater than `after_index` is applied, at most `timeout_s`.
 
-        :returns: the applied index, which at the timeout is not greater.
+        :returns: the applied index; not greater if the wait timed out.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -139,33 +141,33 @@
         return self._replica.index
 
     async def wait_leadership(self) -> int:
-        """Wait until this node leads and has applied all committed; return the epoch."""
+        """Wait until this node leads and has applied all commits; return the epoch."""
         while not self.holds_lease():
             await self._replica.changed.wait()
         return self._epoch
 
     async def _run(self) -> None:
         while not self._is_stopping:
-            asked_at_s = self._clock.now()
+            sent_at_s = self._clock.now()
             read = await self._rows.read_leader()
             if read.is_ok():
-                await self._act_on(read.unwrap(), asked_at_s)
+                await self._handle_row(read.unwrap(), sent_at_s)
             await self._clock.sleep(self._timing.read_interval_s)
 
-    async def _act_on(self, stored: StoredLeader, asked_at_s: float) -> None:
-        self._watch.record_version(stored.version)
+    async def _handle_row(self, stored: StoredLeader, sent_at_s: float) -> None:
+        self._lease_monitor.record_version(stored.version)
         self._epoch = max(self._epoch, stored.row.epoch)
-        if self._watch.has_lapsed(stored):
+        if self._lease_monitor.has_lapsed(stored):
             if not self._is_stopping:
-                await self._take(stored)
+                await self._claim_leadership(stored)
             return
-        # The row names all that was committed when it was read, whoever leads.
+        # The row contains the newest commit at the time of the read, whichever node leads.
         if await self._rows.catch_up(self._replica, stored.row):
-            self._replica.confirm(asked_at_s)
+            self._replica.confirm(sent_at_s)
         await self._follower.follow(stored.row.leader)
 
-    async def _take(self, stored: StoredLeader) -> None:
-        """Take the next epoch if the row still stands as it was read, and lead."""
+    async def _claim_leadership(self, stored: StoredLeader) -> None:
+        """Write the next epoch if the row is unchanged since it was read, and lead."""
         row = LeaderRow()
         row.CopyFrom(stored.row)
         if stored.version == 0:
@@ -178,14 +180,15 @@
         sent_at_s = self._clock.now()
         written = await self._rows.write(row, stored.version)
         if written.is_err():
-            # Without an answer it may stand: the next read tells, and it is taken anew.
+            # Without a response the write may have been applied: the next read shows it, and this
+            # node starts a new epoch.
             return
         await self._lead(StoredLeader(row, stored.version + 1), sent_at_s)
 
-    async def _lead(self, taken: StoredLeader, sent_at_s: float) -> None:
-        self._epoch = taken.row.epoch
+    async def _lead(self, claimed: StoredLeader, sent_at_s: float) -> None:
+        self._epoch = claimed.row.epoch
         tenure = LeaderTenure(
-            self._replica, self._rows, self._clock, self._timing, taken, sent_at_s
+            self._replica, self._rows, self._clock, self._timing, claimed, sent_at_s
         )
         if self._is_stopping:
             tenure.stop()
--- a/indigoworks/controllog/errors.py
+++ b/indigoworks/controllog/errors.py
@@ -29,9 +29,9 @@
 
 
 def not_leader(leader: Member | None) -> NotLeader:
-    """Return the error of a command given to a node that does not lead.
+    """Return the error of a command sent to a node that does not lead.
 
-    :param leader: the leader as this node knows it, or None.
+    :param leader: the leader as far as this node knows, or None.
     """
     message = "This controller does not lead its control group."
     if leader is None:
@@ -41,7 +41,7 @@
 
 
 def outcome_unknown() -> OutcomeUnknown:
-    """Return the error of a command whose commit this node did not see."""
+    """Return the error of a command whose commit this node could not confirm."""
     return OutcomeUnknown(
         "Leadership ended before the command was committed; it may still take effect.",
         "Read the state from the new leader before sending the command again.",
--- a/indigoworks/controllog/follow_service.py
+++ b/indigoworks/controllog/follow_service.py
@@ -1,4 +1,4 @@
-"""Answers of the leader to those that follow it."""
+"""Service of the leader for its followers."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class FollowService:
-    """Hands on what is committed, and knows who asked lately."""
+    """Sends committed entries to followers, and tracks which followers are live."""
 
     def __init__(
         self, member: Member, replica: LogReplica, clock: Clock, timing: LogTiming
@@ -27,25 +27,29 @@
         self._replica = replica
         self._clock = clock
         self._timing = timing
-        self._heard: dict[str, tuple[Member, float]] = {}
+        self._followers: dict[str, tuple[Member, float]] = {}
 
-    async def answer(self, request: FollowRequest, tenure: LeaderTenure | None) -> Frame:
-        """Answer once something newer is committed, or after the hold."""
-        is_meant = request.leader_incarnation == self._member.incarnation
-        if tenure is None or not is_meant or not tenure.holds_lease():
+    async def respond(self, request: FollowRequest, tenure: LeaderTenure | None) -> Frame:
+        """Respond once there are newer commits, or after the long poll's time."""
+        is_for_this_run = request.leader_incarnation == self._member.incarnation
+        if tenure is None or not is_for_this_run or not tenure.holds_lease():
             return not_the_leader()
-        self._heard[request.member.incarnation] = (request.member, self._clock.now())
+        self._followers[request.member.incarnation] = (request.member, self._clock.now())
         await self._wait_for_news(request, tenure)
-        # Checked after the hold, in one step with the reading of the state.
+        # Checked after the wait, without a task switch before the state is read.
         if not tenure.holds_lease():
             return not_the_leader()
         return Frame(follow_reply=self._reply(request, tenure))
 
     def members(self) -> Configuration:
-        """Return this node and those that follow it."""
-        oldest_s = self._clock.now() - self._timing.member_timeout_s
-        self._heard = {key: heard for key, heard in self._heard.items() if heard[1] >= oldest_s}
-        return Configuration(voters=[self._member, *(member for member, _ in self._heard.values())])
+        """Return this node and its live followers."""
+        earliest_s = self._clock.now() - self._timing.member_timeout_s
+        self._followers = {
+            key: follower for key, follower in self._followers.items() if follower[1] >= earliest_s
+        }
+        return Configuration(
+            voters=[self._member, *(member for member, _ in self._followers.values())]
+        )
 
     async def _wait_for_news(self, request: FollowRequest, tenure: LeaderTenure) -> None:
         replica = self._replica
@@ -53,7 +57,7 @@
             return
         try:
             async with asyncio.timeout(self._timing.long_poll_s):
-                # A follower that has read the store may be ahead of a leader that waits for it.
+                # A follower that has read the store may be ahead of a leader with a pending write.
                 while replica.index <= request.known_index and tenure.is_running():
                     await replica.changed.wait()
         except TimeoutError:
--- a/indigoworks/controllog/leader_follower.py
+++ b/indigoworks/controllog/leader_follower.py
@@ -1,4 +1,4 @@
-"""Following the leader over the wire."""
+"""Follows the leader over the network."""
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
@@ -10,11 +10,11 @@
 
 
 class LeaderFollower:
-    """Asks the leader for what is new, again and again.
+    """Polls the leader for new commits.
 
-    :ivar leader: the leader, while it answers.
-    :ivar epoch: newest epoch that a leader told.
-    :ivar members: controllers in touch with the leader, as it told last.
+    :ivar leader: the leader, while it responds.
+    :ivar epoch: newest epoch that a leader reported.
+    :ivar members: controllers connected to the leader, as it last reported.
     """
 
     def __init__(
@@ -22,7 +22,7 @@
         member: Member,
         group_id: int,
         replica: LogReplica,
-        watch: LeaderLeaseMonitor,
+        lease_monitor: LeaderLeaseMonitor,
         clock: Clock,
         timing: LogTiming,
     ) -> None:
@@ -32,35 +32,35 @@
         self._member = member
         self._group_id = group_id
         self._replica = replica
-        self._watch = watch
+        self._lease_monitor = lease_monitor
         self._clock = clock
         self._timing = timing
 
     async def follow(self, leader: Member) -> None:
-        """Follow until the leader gives no answer or leads no more."""
+        """Follow until the leader does not respond or no longer leads."""
         client = RpcClient(Address(leader.host, leader.control_port), self._group_id)
         try:
-            while await self._ask(client, leader):
+            while await self._poll(client, leader):
                 self.leader = leader
         finally:
             self.leader = None
             client.close()
 
-    async def _ask(self, client: RpcClient, leader: Member) -> bool:
+    async def _poll(self, client: RpcClient, leader: Member) -> bool:
         request = FollowRequest(
             member=self._member,
             leader_incarnation=leader.incarnation,
             generation=self._replica.generation,
             known_index=self._replica.index,
         )
-        asked_at_s = self._clock.now()
-        called = await client.call(Frame(follow_request=request), self._timing.call_timeout_s)
-        if called.is_err():
+        sent_at_s = self._clock.now()
+        result = await client.call(Frame(follow_request=request), self._timing.call_timeout_s)
+        if result.is_err():
             return False
-        self._take(called.unwrap().follow_reply, asked_at_s)
+        self._apply(result.unwrap().follow_reply, sent_at_s)
         return True
 
-    def _take(self, reply: FollowReply, asked_at_s: float) -> None:
+    def _apply(self, reply: FollowReply, sent_at_s: float) -> None:
         replica = self._replica
         if reply.HasField("snapshot"):
             replica.restore(reply.generation, reply.snapshot)
@@ -68,9 +68,9 @@
         if replica.index == reply.last_index:
             replica.batch = max(replica.batch, reply.last_batch)
         if replica.index >= reply.last_index:
-            # The leader answered under its lease, after the question: nothing that was
-            # acknowledged before the question is missing here.
-            replica.confirm(asked_at_s)
+            # The leader responded with a valid lease, after the request was sent: no commit
+            # acknowledged before that is missing here.
+            replica.confirm(sent_at_s)
         self.epoch = reply.epoch
         self.members = reply.members
-        self._watch.record_version(reply.row_version)
+        self._lease_monitor.record_version(reply.row_version)
--- a/indigoworks/controllog/leader_lease_monitor.py
+++ b/indigoworks/controllog/leader_lease_monitor.py
@@ -1,4 +1,4 @@
-"""What a challenger has seen of the leader's row."""
+"""Monitors the leader's lease by the versions of its row."""
 
 from indigoworks.common.clock import Clock
 from indigoworks.controllog.stored_leader import StoredLeader
@@ -6,7 +6,7 @@
 
 
 class LeaderLeaseMonitor:
-    """Tells when the leader's lease has surely ended, by the own clock only."""
+    """Determines when the leader's lease has certainly ended, by the local clock only."""
 
     def __init__(self, member: Member, clock: Clock, lease_s: float) -> None:
         self._member = member
@@ -16,16 +16,16 @@
         self._first_seen_s = 0.0
 
     def record_version(self, version: int) -> None:
-        """Note the version of the row, after it was read or told by the leader."""
+        """Record a version of the row that was read or reported by the leader."""
         if version > self._version:
             self._version = version
             self._first_seen_s = self._clock.now()
 
     def has_lapsed(self, stored: StoredLeader) -> bool:
-        """Tell whether the row that was read binds nobody any more.
+        """Return whether the lease of the row that was read has certainly ended.
 
-        The write that takes it over is conditional on the version, so a renewal that was missed
-        since refuses it.
+        The write that claims leadership is conditional on the row's version, so it fails if a
+        renewal was missed.
         """
         if not stored.row.HasField("leader"):
             return True
@@ -35,9 +35,9 @@
         return stored.version == self._version and seen_for_s >= self._lease_s
 
     def _is_ended(self, leader: Member) -> bool:
-        """Tell whether the leader was this very run, in an epoch now over, or one before it.
+        """Return whether the leader was this run in an earlier epoch, or an earlier run of it.
 
-        Two processes cannot hold one address: an earlier run there has ended.
+        Two processes cannot listen on one address: an earlier run there has ended.
         """
         own = self._member
         return (leader.host, leader.control_port) == (own.host, own.control_port)
--- a/indigoworks/controllog/leader_tenure.py
+++ b/indigoworks/controllog/leader_tenure.py
@@ -1,4 +1,4 @@
-"""One epoch of leadership."""
+"""Leadership of one epoch."""
 
 import asyncio
 from collections.abc import Sequence
@@ -19,12 +19,12 @@
 
 
 class LeaderTenure:
-    """Renews the leader's row and commits through it, one write after the other.
+    """Renews the leader's row and commits through it, one write at a time.
 
-    Once it was seen over it stays over: the node takes a new epoch before it acts again.
+    Once the lease has ended, the tenure stays over: the node needs a new epoch to lead again.
 
     :ivar version: version of the leader's row that this epoch wrote last.
-    :ivar is_established: everything committed before this epoch is applied here.
+    :ivar is_established: all commits of earlier epochs are applied here.
     """
 
     def __init__(
@@ -33,17 +33,17 @@
         rows: LogRows,
         clock: Clock,
         timing: LogTiming,
-        taken: StoredLeader,
+        claimed: StoredLeader,
         sent_at_s: float,
     ) -> None:
-        self.epoch = taken.row.epoch
-        self.version = taken.version
+        self.epoch = claimed.row.epoch
+        self.version = claimed.version
         self.is_established = False
         self._replica = replica
         self._rows = rows
         self._clock = clock
         self._timing = timing
-        self._row = taken.row
+        self._row = claimed.row
         self._written_at_s = sent_at_s
         self._is_over = False
         self._is_stopping = False
@@ -51,17 +51,17 @@
         self._wake = asyncio.Event()
 
     def is_running(self) -> bool:
-        """Tell whether the lease runs, on the own clock, at this moment."""
+        """Return whether the lease is valid now, by the local clock."""
         if self._clock.now() >= self._written_at_s + self._timing.holding_s:
             self._is_over = True
         return not self._is_over
 
     def holds_lease(self) -> bool:
-        """Tell whether nobody else can lead and all that was committed is applied here."""
+        """Return whether no other node can lead and all commits are applied here."""
         return self.is_established and self.is_running()
 
     def can_commit(self) -> bool:
-        """Tell whether the store has taken a write within the last moments."""
+        """Return whether the store has accepted a write within `store_silence_s`."""
         age_s = self._clock.now() - self._written_at_s
         return self.holds_lease() and age_s < self._timing.store_silence_s
 
@@ -75,11 +75,11 @@
         return await pending.outcome
 
     async def run(self) -> None:
-        """Lead until the lease is lost, or given up after `stop`."""
+        """Lead until the lease is lost, or until this node has resigned after `stop`."""
         try:
             while self.is_running() and not await self._rows.catch_up(self._replica, self._row):
                 await self._clock.sleep(self._timing.retry_s)
-            # An entry of its own, so that its first index lies above all that earlier leaders had.
+            # An entry of this epoch, so that its first index is above those of earlier leaders.
             self._pending.append(PendingCommand(Command()))
             while self.is_running() and self._pending:
                 await self._write_next()
@@ -88,17 +88,17 @@
             while self.is_running() and not self._is_stopping:
                 await self._write_next()
             if self.is_running():
-                await self._give_up()
+                await self._resign()
         finally:
             self._end()
 
     def stop(self) -> None:
-        """Take no further command, and give the row up after the write in progress."""
+        """Accept no further commands, and resign after the write in progress."""
         self._is_stopping = True
         self._wake.set()
 
     async def _write_next(self) -> None:
-        """Wait for commands or for the renewal, and write."""
+        """Wait for commands or until the renewal is due, and write."""
         if not self._pending:
             await self._wait_until_due()
             if self._is_stopping:
@@ -128,60 +128,62 @@
         await self._write(row, [checkpoint])
 
     async def _write_batch(self, row: LeaderRow) -> None:
-        taken = self._take_pending()
+        commands = self._pop_batch_commands()
         batch = LogBatch(number=row.last_batch + 1)
-        for number, pending in enumerate(taken, start=row.last_index + 1):
+        for number, pending in enumerate(commands, start=row.last_index + 1):
             entry = LogEntry(index=number, term=self.epoch, command=pending.command)
             batch.entries.append(entry)
         row.last_batch = batch.number
-        row.last_index += len(taken)
+        row.last_index += len(commands)
         try:
             is_committed = await self._write(row, [self._rows.batch_write(batch)])
             if is_committed:
                 self._replica.batch = batch.number
                 self._replica.apply(batch.entries)
-                for pending, entry in zip(taken, batch.entries, strict=True):
+                for pending, entry in zip(commands, batch.entries, strict=True):
                     pending.settle(Ok(entry.index))
         finally:
-            for pending in taken:
+            for pending in commands:
                 pending.settle(Err(outcome_unknown()))
 
-    def _take_pending(self) -> Sequence[PendingCommand]:
-        """Take commands up to the size of a batch, and at least one."""
+    def _pop_batch_commands(self) -> Sequence[PendingCommand]:
+        """Remove and return commands up to the size of a batch, and at least one."""
         count, size = 1, self._pending[0].command.ByteSize()
         while count < len(self._pending):
             size += self._pending[count].command.ByteSize()
             if size > self._timing.batch_bytes:
                 break
             count += 1
-        taken, self._pending = self._pending[:count], self._pending[count:]
-        return taken
+        commands, self._pending = self._pending[:count], self._pending[count:]
+        return commands
 
     async def _write(self, row: LeaderRow, others: Sequence[RowWrite] = ()) -> bool:
-        """Write until it is known to stand; False once the lease is over.
+        """Write until the write is confirmed; False once the lease has ended.
 
-        A write without an answer may still take effect. Until that is settled the very same write
-        is repeated and nothing else is written.
+        A write without a response may still take effect. Until that is decided, the same write is
+        retried and nothing else is written.
         """
-        doubtful_since_s: float | None = None
+        unconfirmed_since_s: float | None = None
         while self.is_running():
             sent_at_s = self._clock.now()
             written = await self._rows.write(row, self.version, others)
             if written.is_ok():
-                return self._note_written(row, sent_at_s)
+                return self._record_write(row, sent_at_s)
             error = written.unwrap_err()
             if not isinstance(error, PlatformUnavailable | PlatformRateLimited):
-                doubtful_since_s = sent_at_s if doubtful_since_s is None else doubtful_since_s
-                stands = await self._stands(row)
-                if stands is not None:
-                    return stands and self._note_written(row, doubtful_since_s)
-            # A store that limits the rate says when to come back; the lease does not wait long.
+                unconfirmed_since_s = (
+                    sent_at_s if unconfirmed_since_s is None else unconfirmed_since_s
+                )
+                took_effect = await self._took_effect(row)
+                if took_effect is not None:
+                    return took_effect and self._record_write(row, unconfirmed_since_s)
+            # A rate-limiting store says when to retry; the wait is bounded, as the lease runs.
             wanted_s = max(self._timing.retry_s, error.retry_after_s)
             await self._clock.sleep(min(wanted_s, self._timing.renewal_s))
         return False
 
-    async def _stands(self, row: LeaderRow) -> bool | None:
-        """Tell whether a write without an answer took effect; None: not, or not yet."""
+    async def _took_effect(self, row: LeaderRow) -> bool | None:
+        """Return whether a write without a response took effect; None: not, or not yet."""
         while self.is_running():
             read = await self._rows.read_leader()
             if read.is_ok():
@@ -194,8 +196,8 @@
             await self._clock.sleep(self._timing.retry_s)
         return False
 
-    def _note_written(self, row: LeaderRow, sent_at_s: float) -> bool:
-        # A lease that ended while the write was under way is not taken up again.
+    def _record_write(self, row: LeaderRow, sent_at_s: float) -> bool:
+        # A lease that ended during the write is not resumed.
         if not self.is_running():
             return False
         self._row = row
@@ -203,8 +205,8 @@
         self._written_at_s = sent_at_s
         return True
 
-    async def _give_up(self) -> None:
-        """Clear the leader's name, having stopped to act, so that a successor need not wait."""
+    async def _resign(self) -> None:
+        """Stop acting as leader, then clear the leader's row, so that a successor need not wait."""
         self._is_over = True
         row = LeaderRow()
         row.CopyFrom(self._row)
--- a/indigoworks/controllog/log_replica.py
+++ b/indigoworks/controllog/log_replica.py
@@ -1,4 +1,4 @@
-"""What one node holds of the log."""
+"""Replica of the log at one node."""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -9,10 +9,10 @@
 
 
 class LogReplica:
-    """The applied state and the newest entries. Holds committed entries only.
+    """The applied state and the newest entries, of which all are committed.
 
-    :ivar batch: newest batch that is applied as a whole.
-    :ivar confirmed_at_s: own clock reading at which nothing acknowledged was missing here.
+    :ivar batch: newest batch that is applied completely.
+    :ivar confirmed_at_s: local clock reading as of which no acknowledged entry was missing here.
     :ivar changed: notified after each change.
     """
 
@@ -26,7 +26,7 @@
         self._recent: deque[LogEntry] = deque(maxlen=kept_entries)
 
     def apply(self, entries: Iterable[LogEntry]) -> None:
-        """Apply the entries that are not applied yet; they must follow without a gap."""
+        """Apply the entries that are not applied yet; they must be contiguous."""
         for entry in entries:
             if entry.index == self.index + 1:
                 self.state.apply(entry.index, entry.command)
@@ -35,7 +35,7 @@
         self.changed.notify()
 
     def restore(self, generation: int, snapshot: Snapshot) -> None:
-        """Replace the state by a whole one."""
+        """Replace the state by a snapshot."""
         self.state.restore(snapshot.state)
         self.generation = generation
         self.index = snapshot.last_index
@@ -44,7 +44,7 @@
         self.changed.notify()
 
     def entries_after(self, index: int) -> Sequence[LogEntry] | None:
-        """Return the entries after `index`, or None where they are no longer kept."""
+        """Return the entries after `index`, or None if they are no longer kept."""
         if index >= self.index:
             return ()
         if not self._recent or index < self._recent[0].index - 1:
@@ -52,6 +52,6 @@
         return [entry for entry in self._recent if entry.index > index]
 
     def confirm(self, reading_s: float) -> None:
-        """Note that the state held everything acknowledged at that reading of the own clock."""
+        """Record that no acknowledged entry was missing at a reading of the local clock."""
         if self.confirmed_at_s is None or reading_s > self.confirmed_at_s:
             self.confirmed_at_s = reading_s
--- a/indigoworks/controllog/log_rows.py
+++ b/indigoworks/controllog/log_rows.py
@@ -1,4 +1,4 @@
-"""The rows of a control group's log."""
+"""Rows of a control group's log in the table service."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,8 +16,8 @@
 class LogRows:
     """Rows `leader`, `checkpoint` and `log/0` to `log/N-1` below `groups/{id}/`.
 
-    Batch n stands in the row (n - 1) mod N, in the version (n - 1) div N + 1: whoever knows the
-    number knows which version it replaces, and a late write of a batch can never replace another.
+    Batch n is in the row (n - 1) mod N, with the version (n - 1) div N + 1. So the number of a
+    batch determines which version it replaces, and a delayed write never replaces another batch.
     """
 
     def __init__(self, table: TableStore, group_id: int, ring_rows: int) -> None:
@@ -26,7 +26,7 @@
         self._ring_rows = ring_rows
 
     async def read_leader(self) -> Result[StoredLeader, PlatformError]:
-        """Return the leader's row."""
+        """Read the leader's row."""
         read = await self._table.read(self._prefix + "leader")
         if isinstance(read, Err):
             return read
@@ -43,12 +43,12 @@
         return await self._table.transact([leader, *others])
 
     def batch_write(self, batch: LogBatch) -> RowWrite:
-        """Return the write of a batch."""
-        laps = (batch.number - 1) // self._ring_rows
-        return RowWrite(self._batch_key(batch.number), batch.SerializeToString(), laps)
+        """Make the write of a batch."""
+        replaced_version = (batch.number - 1) // self._ring_rows
+        return RowWrite(self._batch_key(batch.number), batch.SerializeToString(), replaced_version)
 
     def checkpoint_write(self, replica: LogReplica, version: int) -> RowWrite:
-        """Return the write of the applied state as the checkpoint."""
+        """Make the write of the applied state as checkpoint."""
         checkpoint = Checkpoint(
             generation=replica.generation,
             last_index=replica.index,
@@ -58,7 +58,7 @@
         return RowWrite(self._prefix + "checkpoint", checkpoint.SerializeToString(), version)
 
     async def first_row(self) -> Result[LeaderRow, PlatformError]:
-        """Return the row of a group that has none, after a checkpoint of an earlier release."""
+        """Make a group's first leader's row, after a checkpoint of an earlier release, if any."""
         read = await self._table.read(self._prefix + "checkpoint")
         if isinstance(read, Err):
             return read
@@ -75,7 +75,7 @@
         )
 
     async def catch_up(self, replica: LogReplica, row: LeaderRow) -> bool:
-        """Apply everything that is committed as of `row`; False where it has to be tried again."""
+        """Apply all commits as of `row`; False if it has to be retried."""
         is_known = replica.generation == row.generation
         if is_known and replica.index >= row.last_index:
             replica.batch = max(replica.batch, row.last_batch)
@@ -84,7 +84,7 @@
         if not is_beyond and not await self._load_checkpoint(replica, row):
             return False
         numbers = range(replica.batch + 1, row.last_batch + 1)
-        # All at once: a new leader serves only when it has them.
+        # In parallel, since a new leader cannot serve before it has them all.
         read = await asyncio.gather(*(self._read_batch(number) for number in numbers))
         for batch in read:
             if batch is None:
@@ -102,7 +102,7 @@
         if stored is None:
             return False
         checkpoint = Checkpoint.FromString(stored.value)
-        # What the leader told meanwhile may reach further; the state never goes back.
+        # Entries from the leader may be newer than the checkpoint; the state never goes back.
         if replica.generation != row.generation or checkpoint.last_index > replica.index:
             snapshot = Snapshot(last_index=checkpoint.last_index, state=checkpoint.state)
             replica.restore(row.generation, snapshot)
@@ -110,7 +110,7 @@
         return True
 
     async def _read_batch(self, number: int) -> LogBatch | None:
-        """Return the batch, or None when it cannot be read or its row holds a later one."""
+        """Read a batch; None if it cannot be read or its row holds a later one."""
         read = await self._table.read(self._batch_key(number))
         stored = read.unwrap_or(None)
         batch = None if stored is None else LogBatch.FromString(stored.value)
--- a/indigoworks/controllog/log_status.py
+++ b/indigoworks/controllog/log_status.py
@@ -1,4 +1,4 @@
-"""What a node tells about its place in the group."""
+"""Status of a node in its control group."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True)
 class LogStatus:
-    """Place of a node in its group.
+    """Status of a node in its group.
 
-    :ivar generation: generation of the log as the node knows it; 0 before it knows any.
-    :ivar term: newest epoch known.
-    :ivar leader: the leader, as long as the node is in touch with it.
-    :ivar commit_index: newest log index known to be committed, and applied.
-    :ivar configuration: controllers in touch with the leader, as far as this node knows.
+    :ivar generation: generation of the log as far as the node knows; 0: unknown.
+    :ivar term: newest known epoch.
+    :ivar leader: the leader, while the node is connected to it.
+    :ivar commit_index: newest log index known to be committed, which is applied.
+    :ivar configuration: controllers connected to the leader, as far as this node knows.
     """
 
     member: Member
--- a/indigoworks/controllog/log_timing.py
+++ b/indigoworks/controllog/log_timing.py
@@ -1,4 +1,4 @@
-"""Durations and bounds of the control log."""
+"""Timeouts and size limits of the control log."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,22 @@
 class LogTiming:
     """Durations in seconds, unless the name says otherwise.
 
-    :ivar lease_s: a challenger waits so long, on its clock, for a change of the leader's row.
-    :ivar renewal_s: the leader writes its row at least so often. What it still holds when the
-        store fails, `lease_s` less this, bridges an outage.
-    :ivar store_silence_s: a leader whose last write is older takes it that it cannot commit.
-    :ivar retry_s: pause before a call to the store is repeated.
-    :ivar read_interval_s: pause between two reads of the leader's row by a node out of touch.
-    :ivar hold_s: longest time for which the leader holds a follower's request.
-    :ivar call_timeout_s: how long a follower waits for an answer, the hold included.
-    :ivar member_silence_s: a follower that has not asked for so long counts as gone.
-    :ivar give_up_s: longest time that a planned stop spends on giving the row up.
+    :ivar lease_s: time without a change of the leader's row, by its own clock, after which a
+        challenger may claim leadership.
+    :ivar renewal_s: longest time between two writes of the leader's row. A leader survives an
+        outage of the store of `lease_s` less this.
+    :ivar store_silence_s: age of its last write after which a leader reports that it cannot commit.
+    :ivar retry_s: delay before a call to the store is retried.
+    :ivar read_interval_s: delay between two reads of the leader's row by a node that has no
+        connection to the leader.
+    :ivar long_poll_s: longest time for which the leader holds a follower's request.
+    :ivar call_timeout_s: timeout of a follower's request, which includes `long_poll_s`.
+    :ivar member_timeout_s: time without a request after which a follower counts as gone.
+    :ivar resign_timeout_s: longest time that a planned stop spends on resigning.
     :ivar batch_bytes: bytes of commands after which a batch is full.
-    :ivar ring_rows: rows that batches are written to in turn; a checkpoint frees them all.
+    :ivar ring_rows: rows to which batches are written in turn; a checkpoint frees them all.
     :ivar kept_entries: entries kept in memory for followers.
-    :ivar reply_bytes: bytes of entries after which an answer to a follower is full.
+    :ivar reply_bytes: bytes of entries after which a reply to a follower is full.
     """
 
     lease_s: float = 4.0
@@ -41,8 +43,8 @@
 
     @property
     def holding_s(self) -> float:
-        """Return for how long a leader acts from before it sent a write of its row.
+        """Return the seconds for which a leader may act, from when it sent a write of its row.
 
-        Its clock may be slow and a challenger's fast, each by the whole bound.
+        Its clock may be slow and a challenger's fast, each by MAX_CLOCK_DRIFT.
         """
         return self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
--- a/indigoworks/controllog/pending_command.py
+++ b/indigoworks/controllog/pending_command.py
@@ -1,4 +1,4 @@
-"""A command that waits to be committed."""
+"""Command that waits to be committed."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -15,12 +15,12 @@
 
 @dataclass(eq=False)
 class PendingCommand:
-    """A proposed command and what became of it."""
+    """A proposed command and its outcome."""
 
     command: Command
     outcome: "asyncio.Future[Result[int, ControlLogError]]" = field(default_factory=_new_outcome)
 
     def settle(self, result: Result[int, ControlLogError]) -> None:
-        """Tell the proposer, unless it was told or has gone."""
+        """Set the outcome, unless it is set or the proposer was cancelled."""
         if not self.outcome.done():
             self.outcome.set_result(result)
--- a/indigoworks/controllog/refusal.py
+++ b/indigoworks/controllog/refusal.py
@@ -1,15 +1,15 @@
-"""Refusals of requests that this node cannot answer."""
+"""Error replies to requests that this node cannot serve."""
 
 from indigoworks.wire.control_pb2 import ErrorReply, Frame
 
 
 def not_the_leader() -> Frame:
-    """Return the reply to a follower that asks a node that does not lead, or no longer."""
+    """Return the reply to a follower's request at a node that does not lead."""
     return _refusal("not_leader", "This process does not lead.", "Read the leader's row.")
 
 
 def unknown_request(payload: str) -> Frame:
-    """Return the reply to a request that the control log does not know."""
+    """Return the reply to a request of an unknown type."""
     return _refusal(
         "unknown_request",
         f"The control log has no request {payload!r}.",
@@ -18,7 +18,7 @@
 
 
 def other_group(group_id: int) -> Frame:
-    """Return the reply to a request for a group that this node is not in."""
+    """Return the reply to a request for another control group."""
     return _refusal(
         "other_group",
         f"This node is not in control group {group_id}.",
--- a/indigoworks/controllog/replicated_state.py
+++ b/indigoworks/controllog/replicated_state.py
@@ -1,4 +1,4 @@
-"""The state that the group agrees on."""
+"""Interface of the state machine that the log replicates."""
 
 from typing import Protocol
 
@@ -6,16 +6,16 @@
 
 
 class ReplicatedState(Protocol):
-    """A state machine fed by the replicated log. Calls are synchronous and must not fail."""
+    """A state machine driven by the replicated log. Calls are synchronous and must not fail."""
 
     def apply(self, index: int, command: Command) -> None:
         """Apply the committed command at log index `index`; indices come without gaps."""
         ...
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the complete state as bytes."""
         ...
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes stand for the initial state."""
+        """Replace the state by a snapshot; empty bytes are the initial state."""
         ...
--- a/indigoworks/controllog/role.py
+++ b/indigoworks/controllog/role.py
@@ -4,7 +4,7 @@
 
 
 class Role(Enum):
-    """What a node does in its group at the moment."""
+    """Current role of a node."""
 
     FOLLOWER = "follower"
     LEADER = "leader"
--- a/indigoworks/controllog/stored_leader.py
+++ b/indigoworks/controllog/stored_leader.py
@@ -1,4 +1,4 @@
-"""The leader's row as it stands in the table service."""
+"""Leader's row as stored in the table service."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class StoredLeader:
-    """The row and its version; version 0 stands for no row."""
+    """The row and its version; version 0: there is no row."""
 
     row: LeaderRow
     version: int
--- a/indigoworks_lab/simulation/broken_rules/control_log_rules.py
+++ b/indigoworks_lab/simulation/broken_rules/control_log_rules.py
@@ -34,7 +34,7 @@
     sent_at_s = tenure._clock.now()
     written = await tenure._rows.write(row, tenure.version, others)
     if written.is_ok():
-        return tenure._note_written(row, sent_at_s)
+        return tenure._record_write(row, sent_at_s)
     await tenure._clock.sleep(tenure._timing.retry_s)
     return tenure.is_running()
 
