--- a/features/steps/gateway_broker_message_steps.py
+++ b/features/steps/gateway_broker_message_steps.py
@@ -5,7 +5,7 @@
 from platform_folder_store_stand_in import FOLDER  # noqa: F401
 
 # isort: split
-from server_word_reader import read_server_word
+from server_load_reader import read_server_load
 
 from indigoworks.broker.broker_codec import decode_datagram, encode_datagram
 from indigoworks.broker.broker_datagram import BrokerDatagram
@@ -40,9 +40,9 @@
     "and pace {pace:g}"
 )
 def step_word(context, text, running, waiting, slots, pace):
-    assert read_server_word(text) == SelfReportedLoad(running, waiting, slots, pace)
+    assert read_server_load(text) == SelfReportedLoad(running, waiting, slots, pace)
 
 
 @then('a server\'s word "{text}" says nothing')
 def step_no_word(context, text):
-    assert read_server_word(text) is None
+    assert read_server_load(text) is None
--- a/features/steps/gateway_limit_placement_steps.py
+++ b/features/steps/gateway_limit_placement_steps.py
@@ -8,7 +8,7 @@
 from gateway_control_steps import OWNERS
 from gateway_control_world import SERVICE, ControlWorld
 
-from indigoworks.common.limit_word import LimitWord
+from indigoworks.common.limit_report import LimitReport
 from indigoworks.exchange.key_sample import KeySample
 from indigoworks.ownership.leader_row import LEADER_KEY, LeaderRow
 from indigoworks.ownership.load_balancer import HIGH_UTILISATION, LoadBalancer
@@ -111,7 +111,7 @@
     def tell(self, per_s):
         """A peer tells that it has just heard the server's word."""
         record = self.world.servers.get(LIMITED)
-        self.world.servers.notices.limits.record_from_peer(record, LimitWord(per_s, 0.0))
+        self.world.servers.notices.limits.record_from_peer(record, LimitReport(per_s, 0.0))
 
     async def tell_for(self, per_s, for_s):
         for _ in range(round(for_s)):
--- a/features/steps/gateway_log_bound_steps.py
+++ b/features/steps/gateway_log_bound_steps.py
@@ -16,7 +16,7 @@
 from gateway_world import ask, make_route, make_service, until
 
 from indigoworks.common.logging.line_buffer import MAX_BUFFERED_BYTES
-from indigoworks.common.logging.line_rates import (
+from indigoworks.common.logging.line_rate_limiter import (
     FAILURE_LINES_PER_S,
     SUCCESS_LINES_PER_S,
     is_control,
--- a/features/steps/gateway_log_steps.py
+++ b/features/steps/gateway_log_steps.py
@@ -7,7 +7,7 @@
 from eliot import add_destinations, remove_destination
 
 from indigoworks.common.logging.line_buffer import MAX_BUFFERED_BYTES, LineBuffer
-from indigoworks.common.logging.line_rates import SUCCESS_LINES_PER_S, LineRates
+from indigoworks.common.logging.line_rate_limiter import SUCCESS_LINES_PER_S, LineRateLimiter
 from indigoworks_lab.simulation.core.manual_clock import ManualClock
 
 TEXT = "x" * 900
@@ -26,7 +26,7 @@
 def make_buffer(context, descriptor):
     """Make a buffer whose clock stands still, and let it take what is logged."""
     context.gateway_log_clock = ManualClock()
-    context.gateway_rates = LineRates(context.gateway_log_clock)
+    context.gateway_rates = LineRateLimiter(context.gateway_log_clock)
     context.gateway_lines = LineBuffer(descriptor, "n1", context.gateway_rates)
     drop_earlier_messages(context)
     add_destinations(context.gateway_lines.add)
--- a/features/steps/gateway_metrics_steps.py
+++ b/features/steps/gateway_metrics_steps.py
@@ -169,7 +169,7 @@
 @when('the gateway process log drops {count:d} lines of type "{message_type}"')
 def drop(context, count, message_type):
     for _ in range(count):
-        context.gateway_process.rates.drop(message_type)
+        context.gateway_process.rates.record_dropped(message_type)
 
 
 @when("a gateway process caller asks, and the page of metrics has its first values")
--- a/features/steps/gateway_process_world.py
+++ b/features/steps/gateway_process_world.py
@@ -22,7 +22,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.gateway.active_settings import ActiveSettings
 from indigoworks.gateway.gateway import Gateway
 from indigoworks.gateway.gateway_settings import MS_PER_S, load_gateway_settings
@@ -96,7 +96,7 @@
             read_configuration=self._read_configuration,
             read_server=read_server,
         )
-        self.rates = LineRates(self.clock)
+        self.rates = LineRateLimiter(self.clock)
         self.servers = {}
         self.next_id = 0
         self.configure(1)
--- a/features/steps/gateway_request_steps.py
+++ b/features/steps/gateway_request_steps.py
@@ -217,4 +217,4 @@
 
 @then("nothing is in progress at the gateway")
 def nothing_in_progress(context):
-    context.run_async(context.gateway.side.front.in_progress.wait_for_none())
+    context.run_async(context.gateway.side.front.in_progress.wait_until_idle())
--- a/features/steps/gateway_world.py
+++ b/features/steps/gateway_world.py
@@ -13,7 +13,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.metrics import Metrics
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PeerDirectory
@@ -123,7 +123,7 @@
         "read_configuration": None,
         "read_server": None,
         "read_evacuated_zone": lambda key: None,
-        "read_server_word": lambda text: None,
+        "read_server_load": lambda text: None,
         "read_server_notice": read_server_notice,
         **fields,
     }
@@ -157,7 +157,7 @@
             self.peers,
             self.directory,
             Metrics(),
-            LineRates(self.clock),
+            LineRateLimiter(self.clock),
             self.clock,
             Random(1),
             PeerAddress(self.settings.node, "b", ZONE, self.settings.peer_address),
--- a/features/steps/settings_process_steps.py
+++ b/features/steps/settings_process_steps.py
@@ -13,7 +13,7 @@
 from tornado.web import Application
 
 from indigoworks.common.logging import set_up_logging
-from indigoworks.common.logging.access_records import ACCESS_LOGGER, as_debug
+from indigoworks.common.logging.access_records import ACCESS_LOGGER, demote_to_debug
 from indigoworks.settings import ControllerSettings, RouterSettings, load_process_settings
 
 SAMPLES = Path(__file__).parents[2] / "etc"
@@ -111,7 +111,7 @@
     def restore():
         root.handlers, root.level = former[0], former[1]
         access = logging.getLogger(ACCESS_LOGGER)
-        access.removeFilter(as_debug)
+        access.removeFilter(demote_to_debug)
         access.setLevel(logging.NOTSET)
         for each in list(Logger._destinations._destinations):
             if each not in former[2]:
--- a/indigoworks/broker/doubt_broadcaster.py
+++ b/indigoworks/broker/doubt_broadcaster.py
@@ -71,7 +71,7 @@
         """Queue a doubt that was raised or lifted here for the next broadcast."""
         if len(self._pending) < MAX_PENDING_DOUBTS:
             self._pending[doubt.number] = self._newest[doubt.number] = doubt
-            self._broadcast_call.ask()
+            self._broadcast_call.schedule()
 
     def handle_notice(self, notice: DoubtNotice) -> None:
         """Handle a notice of a peer, and forward it if requested."""
--- a/indigoworks/common/coalesced_call.py
+++ b/indigoworks/common/coalesced_call.py
@@ -14,7 +14,7 @@
         self._call = call
         self._is_asked = False
 
-    def ask(self) -> None:
+    def schedule(self) -> None:
         """Have the call made soon."""
         if self._is_asked:
             return
--- a/indigoworks/common/fair_entry.py
+++ b/indigoworks/common/fair_entry.py
@@ -17,5 +17,5 @@
     group: str
     weight: float
     concurrency_limit: int | None = None
-    charged: float = 0.0
+    charged_s: float = 0.0
     sequence: int = 0
--- a/indigoworks/common/fair_queue.py
+++ b/indigoworks/common/fair_queue.py
@@ -7,7 +7,7 @@
 
 from indigoworks.common.group_queue import EntryT, GroupQueue
 
-LEAST_COST_S = 1e-6
+MIN_COST_S = 1e-6
 """Cost by which requests are taken to differ at least where their order is foretold."""
 
 
@@ -80,7 +80,7 @@
             return None
         return next(iter(min(eligible, key=lambda each: (each.virtual_time, each.name)).entries))
 
-    def take(self, estimated_cost_s: float) -> EntryT | None:
+    def grant_next(self, estimated_cost_s: float) -> EntryT | None:
         """Give a slot to the next request; None when no group may go."""
         entry = self.head()
         if entry is not None:
@@ -95,14 +95,14 @@
         group.virtual_time += estimated_cost_s / group.weight
         group.in_progress += 1
         self._in_progress += 1
-        entry.charged = estimated_cost_s
+        entry.charged_s = estimated_cost_s
 
-    def give_back(self, entry: EntryT, cost_s: float) -> None:
+    def release(self, entry: EntryT, cost_s: float) -> None:
         """Take the slot of `entry` back and charge what it cost in fact."""
         group = self._groups[entry.group]
         group.in_progress -= 1
         self._in_progress -= 1
-        group.virtual_time += (cost_s - entry.charged) / group.weight
+        group.virtual_time += (cost_s - entry.charged_s) / group.weight
         is_owed_nothing = group.virtual_time <= self._virtual_time
         if not group.entries and not group.in_progress and is_owed_nothing:
             # Where it would begin again is where a new group begins.
@@ -121,16 +121,16 @@
         """
         own = self._groups[name]
         before = len(own.entries) - 1
-        tag = own.virtual_time + before * max(cost_s, LEAST_COST_S) / own.weight
+        tag = own.virtual_time + before * max(cost_s, MIN_COST_S) / own.weight
         for other in self._groups.values():
             if other is not own and other.entries:
-                step = max(cost_s, LEAST_COST_S) / other.weight
+                step = max(cost_s, MIN_COST_S) / other.weight
                 count = floor((tag - other.virtual_time) / step) + 1
                 before += min(max(count, 0), len(other.entries))
         return before
 
 
 def _tagged(group: GroupQueue[EntryT], cost_s: float) -> Iterator[tuple[float, str, EntryT]]:
-    step = max(cost_s, LEAST_COST_S) / group.weight
+    step = max(cost_s, MIN_COST_S) / group.weight
     for position, entry in enumerate(group.entries):
         yield group.virtual_time + position * step, group.name, entry
--- a/indigoworks/common/in_progress.py
+++ b/indigoworks/common/in_progress_counter.py
@@ -5,7 +5,7 @@
 from contextlib import contextmanager
 
 
-class InProgress:
+class InProgressCounter:
     """Number of pieces of work in progress."""
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         return self._count
 
     @contextmanager
-    def one(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one piece of work while the block runs."""
         self._count += 1
         self._none.clear()
@@ -30,6 +30,6 @@
             if self._count == 0:
                 self._none.set()
 
-    async def wait_for_none(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing is in progress."""
         await self._none.wait()
--- a/indigoworks/common/lease_bounds.py
+++ b/indigoworks/common/lease_bounds.py
@@ -7,7 +7,7 @@
 """Largest difference in rate between any process's clock and true time, as a ratio."""
 
 
-def lapse_of(lease_s: float) -> float:
+def lapse_duration_s(lease_s: float) -> float:
     """Return the time on any clock after which a lease of `lease_s` on any other has lapsed.
 
     The holder's clock may be slow and the observer's fast, each by the whole bound. The quotient
@@ -16,5 +16,5 @@
     return lease_s * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
 
-VIEW_LEASE_LAPSE_S = lapse_of(VIEW_LEASE_S)
+VIEW_LEASE_LAPSE_S = lapse_duration_s(VIEW_LEASE_S)
 """Time on any other clock after which a view lease of VIEW_LEASE_S has surely lapsed."""
--- a/indigoworks/common/limit_word.py
+++ b/indigoworks/common/limit_report.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitWord:
+class LimitReport:
     """The newest word of a server on the requests that it takes from all gateways together.
 
     :ivar per_s: requests a second; None: it names no limit any more.
--- a/indigoworks/common/logging/access_records.py
+++ b/indigoworks/common/logging/access_records.py
@@ -6,7 +6,7 @@
 """Logger of the HTTP server's line for each answered request."""
 
 
-def as_debug(record: logging.LogRecord) -> bool:
+def demote_to_debug(record: logging.LogRecord) -> bool:
     """Lower a record to DEBUG, and keep it; a filter of the standard library's loggers.
 
     The HTTP server calls every answer from 500 on an error, also a refusal with 503, which is an
--- a/indigoworks/common/logging/line_buffer.py
+++ b/indigoworks/common/logging/line_buffer.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from indigoworks.common.logging.line_rates import LineRates, is_control
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter, is_control
 from indigoworks.common.logging.log_level import LEVEL_FIELD, LogLevel, level_of
 
 MAX_BUFFERED_BYTES = 512 * 1024
@@ -40,7 +40,7 @@
     :param rates: bounds of the number of lines, and the counts of what was dropped.
     """
 
-    def __init__(self, descriptor: int, process: str, rates: LineRates) -> None:
+    def __init__(self, descriptor: int, process: str, rates: LineRateLimiter) -> None:
         self._descriptor = descriptor
         self._process = process
         self._rates = rates
@@ -56,7 +56,7 @@
     def add(self, message: dict[str, Any]) -> None:
         """Take one message; serves as a destination of eliot."""
         message_type = str(message.get("message_type", ""))
-        if not self._rates.take(message_type, _is_failure(message)):
+        if not self._rates.admit(message_type, _is_failure(message)):
             return
         for name in ("task_uuid", "task_level"):
             message.pop(name, None)
@@ -66,7 +66,7 @@
         if is_kept:
             self._make_room(len(data))
         if self._bytes + len(data) > MAX_BUFFERED_BYTES:
-            self._rates.drop(message_type)
+            self._rates.record_dropped(message_type)
             return
         self._lines.append(_Line(data, "" if is_kept else message_type))
         self._bytes += len(data)
@@ -84,7 +84,7 @@
         self._write()
 
     def _tell_dropped(self) -> None:
-        dropped = self._rates.take_untold()
+        dropped = self._rates.pop_unreported()
         if dropped:
             log_message(
                 message_type="log:dropped",
@@ -117,7 +117,7 @@
             line = self._lines.popleft()
             if line.message_type and self._bytes + size > MAX_BUFFERED_BYTES:
                 self._bytes -= len(line.data)
-                self._rates.drop(line.message_type)
+                self._rates.record_dropped(line.message_type)
             else:
                 kept.append(line)
         self._lines = kept
--- a/indigoworks/common/logging/line_rates.py
+++ b/indigoworks/common/logging/line_rate_limiter.py
@@ -37,7 +37,7 @@
 SECOND_S = 1.0
 
 
-class LineRates:
+class LineRateLimiter:
     """Counts lines by type, and what was dropped of them.
 
     A second ends when `end_second` is called after it, so that no line costs a reading of the
@@ -62,16 +62,16 @@
             is_free = self._successes.get(message_type, 0) < SUCCESS_LINES_PER_S
         return is_free or is_control(message_type)
 
-    def take(self, message_type: str, is_failure: bool) -> bool:
+    def admit(self, message_type: str, is_failure: bool) -> bool:
         """Count a line that is to be written; False where it is dropped."""
         if not self.has_room(message_type, is_failure):
-            self.drop(message_type)
+            self.record_dropped(message_type)
             return False
         counts = self._failures if is_failure else self._successes
         counts[message_type] = counts.get(message_type, 0) + 1
         return True
 
-    def drop(self, message_type: str) -> None:
+    def record_dropped(self, message_type: str) -> None:
         """Count a line that is not written."""
         self._untold[message_type] = self._untold.get(message_type, 0) + 1
         self.dropped[message_type] = self.dropped.get(message_type, 0) + 1
@@ -88,7 +88,7 @@
         self._failures.clear()
         return True
 
-    def take_untold(self) -> Mapping[str, int]:
+    def pop_unreported(self) -> Mapping[str, int]:
         """Return what was dropped since the last call, by type."""
         untold = self._untold
         self._untold = {}
--- a/indigoworks/common/logging/log_setup.py
+++ b/indigoworks/common/logging/log_setup.py
@@ -7,7 +7,7 @@
 from eliot import FileDestination, add_destinations
 from eliot.stdlib import EliotHandler
 
-from indigoworks.common.logging.access_records import ACCESS_LOGGER, as_debug
+from indigoworks.common.logging.access_records import ACCESS_LOGGER, demote_to_debug
 from indigoworks.common.logging.level_filter import LevelFilter
 from indigoworks.common.logging.log_level import LogLevel
 from indigoworks.common.logging.log_threshold import LOG_THRESHOLD
@@ -35,6 +35,6 @@
     root.setLevel(int(threshold))
     # Requests have messages of their own, with ids; the HTTP server's line says less.
     access = logging.getLogger(ACCESS_LOGGER)
-    access.addFilter(as_debug)
+    access.addFilter(demote_to_debug)
     # Refusals come in floods: where DEBUG is not written, their lines are not even built.
     access.setLevel(logging.WARNING if threshold is LogLevel.DEBUG else logging.CRITICAL)
--- a/indigoworks/common/metrics.py
+++ b/indigoworks/common/metrics.py
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Counts:
+class Counter:
     """A counter by labels."""
 
     name: str
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class TimesValue:
+class HistogramValue:
     """Times of one set of labels: how many fell below each bound, and their sum in seconds."""
 
     counts: list[int]
@@ -37,26 +37,26 @@
 
 
 @dataclass
-class Times:
+class Histogram:
     """A histogram of seconds by labels."""
 
     name: str
     description: str
     labels: Labels
     bounds_s: tuple[float, ...] = LATENCY_BOUNDS_S
-    values: dict[Labels, TimesValue] = field(default_factory=dict)
+    values: dict[Labels, HistogramValue] = field(default_factory=dict)
 
     def add(self, elapsed_s: float, *labels: str) -> None:
         """Add one time."""
         value = self.values.get(labels)
         if value is None:
-            value = self.values[labels] = TimesValue([0] * (len(self.bounds_s) + 1))
+            value = self.values[labels] = HistogramValue([0] * (len(self.bounds_s) + 1))
         value.counts[bisect_left(self.bounds_s, elapsed_s)] += 1
         value.sum_s += elapsed_s
 
 
 @dataclass
-class Gauges:
+class Gauge:
     """Values by labels that are read when the page is made."""
 
     name: str
@@ -72,21 +72,21 @@
     """
 
     def __init__(self) -> None:
-        self.counts: list[Counts] = []
-        self.times: list[Times] = []
-        self.gauges: list[Gauges] = []
-        self.read_counts: list[Gauges] = []
+        self.counters: list[Counter] = []
+        self.histograms: list[Histogram] = []
+        self.gauges: list[Gauge] = []
+        self.read_counters: list[Gauge] = []
 
-    def counter(self, name: str, description: str, *labels: str) -> Counts:
+    def counter(self, name: str, description: str, *labels: str) -> Counter:
         """Return a new counter."""
-        counts = Counts(name, description, labels)
-        self.counts.append(counts)
+        counts = Counter(name, description, labels)
+        self.counters.append(counts)
         return counts
 
-    def histogram(self, name: str, description: str, *labels: str) -> Times:
+    def histogram(self, name: str, description: str, *labels: str) -> Histogram:
         """Return a new histogram of seconds."""
-        times = Times(name, description, labels)
-        self.times.append(times)
+        times = Histogram(name, description, labels)
+        self.histograms.append(times)
         return times
 
     def gauge(
@@ -97,7 +97,7 @@
         read: Callable[[], Mapping[Labels, float]],
     ) -> None:
         """Add a gauge that `read` gives by labels."""
-        self.gauges.append(Gauges(name, description, labels, read))
+        self.gauges.append(Gauge(name, description, labels, read))
 
     def read_counter(
         self,
@@ -107,4 +107,4 @@
         read: Callable[[], Mapping[Labels, float]],
     ) -> None:
         """Add a counter that `read` gives by labels."""
-        self.read_counts.append(Gauges(name, description, labels, read))
+        self.read_counters.append(Gauge(name, description, labels, read))
--- a/indigoworks/common/metrics_page.py
+++ b/indigoworks/common/metrics_page.py
@@ -11,7 +11,7 @@
 )
 from prometheus_client.registry import Collector
 
-from indigoworks.common.metrics import Counts, Gauges, Labels, Metrics, Times
+from indigoworks.common.metrics import Counter, Gauge, Histogram, Labels, Metrics
 
 
 class _MetricsCollector(Collector):
@@ -20,11 +20,11 @@
 
     def collect(self) -> Iterator[Metric]:
         """Return all families; called by the library."""
-        for counts in self._metrics.counts:
+        for counts in self._metrics.counters:
             yield _counter(counts, counts.values)
-        for read in self._metrics.read_counts:
+        for read in self._metrics.read_counters:
             yield _counter(read, read.read())
-        for times in self._metrics.times:
+        for times in self._metrics.histograms:
             yield _histogram(times)
         for gauges in self._metrics.gauges:
             yield _gauge(gauges)
@@ -37,14 +37,14 @@
     return generate_latest(registry)
 
 
-def _counter(counts: Counts | Gauges, values: Mapping[Labels, float]) -> Metric:
+def _counter(counts: Counter | Gauge, values: Mapping[Labels, float]) -> Metric:
     family = CounterMetricFamily(counts.name, counts.description, labels=counts.labels)
     for labels, value in values.items():
         family.add_metric(list(labels), value)
     return family
 
 
-def _histogram(times: Times) -> Metric:
+def _histogram(times: Histogram) -> Metric:
     family = HistogramMetricFamily(times.name, times.description, labels=times.labels)
     for labels, value in times.values.items():
         family.add_metric(list(labels), list(_buckets(times.bounds_s, value.counts)), value.sum_s)
@@ -58,7 +58,7 @@
         yield bound, total
 
 
-def _gauge(gauges: Gauges) -> Metric:
+def _gauge(gauges: Gauge) -> Metric:
     family = GaugeMetricFamily(gauges.name, gauges.description, labels=gauges.labels)
     for labels, value in gauges.read().items():
         family.add_metric(list(labels), value)
--- a/indigoworks/common/ring/range_assignment.py
+++ b/indigoworks/common/ring/range_assignment.py
@@ -21,6 +21,6 @@
     token: int = 0
     next_owner: str = ""
 
-    def contains(self, place: int) -> bool:
+    def contains(self, position: int) -> bool:
         """Tell whether `place` lies in the range."""
-        return self.start <= place <= self.end
+        return self.start <= position <= self.end
--- a/indigoworks/controller/lease_timing.py
+++ b/indigoworks/controller/lease_timing.py
@@ -1,6 +1,6 @@
 """Timing of back-end leases, their renewal, and server discovery."""
 
-from indigoworks.common.lease_bounds import lapse_of
+from indigoworks.common.lease_bounds import lapse_duration_s
 
 BACKEND_LEASE_S = 1.5
 """Duration of a back end's lease, counted from a reading of the back end's own clock."""
@@ -11,7 +11,7 @@
 RENEWAL_TIMEOUT_S = 0.4
 """Time after which an unanswered renewal counts as failed."""
 
-LEASE_LAPSE_S = lapse_of(BACKEND_LEASE_S)
+LEASE_LAPSE_S = lapse_duration_s(BACKEND_LEASE_S)
 """Time on the controller's clock after which a lease of BACKEND_LEASE_S has certainly lapsed."""
 
 FAILED_RENEWALS_BEFORE_LOSS = 2
--- a/indigoworks/exchange/notice_codec.py
+++ b/indigoworks/exchange/notice_codec.py
@@ -1,6 +1,6 @@
 """Encodes and decodes shared notices as protobuf messages."""
 
-from indigoworks.common.limit_word import LimitWord
+from indigoworks.common.limit_report import LimitReport
 from indigoworks.exchange.exchange_pb2 import LimitMessage, NoticeMessage
 from indigoworks.exchange.shared_notice import SharedNotice
 
@@ -30,7 +30,7 @@
     )
 
 
-def _encode_limit(limit: LimitWord) -> LimitMessage:
+def _encode_limit(limit: LimitReport) -> LimitMessage:
     return LimitMessage(
         per_s=limit.per_s or 0.0,
         is_ended=limit.per_s is None,
@@ -38,6 +38,6 @@
     )
 
 
-def _decode_limit(message: LimitMessage) -> LimitWord:
+def _decode_limit(message: LimitMessage) -> LimitReport:
     per_s = None if message.is_ended else max(0.0, message.per_s)
-    return LimitWord(per_s, message.age_ms / MS_PER_S)
+    return LimitReport(per_s, message.age_ms / MS_PER_S)
--- a/indigoworks/exchange/shared_notice.py
+++ b/indigoworks/exchange/shared_notice.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from indigoworks.common.limit_word import LimitWord
+from indigoworks.common.limit_report import LimitReport
 
 MAX_REPORTERS = 4
 """Largest number of gateways that a notice names; no decision depends on more of them."""
@@ -28,7 +28,7 @@
     rest_left_s: float
     reporters: tuple[int, ...]
     is_leaving: bool
-    limit: LimitWord | None = None
+    limit: LimitReport | None = None
 
     def aged(self, age_s: float) -> "SharedNotice":
         """Return the same notice with its ages increased by `age_s`."""
@@ -58,7 +58,7 @@
     )
 
 
-def _newer(one: LimitWord | None, other: LimitWord | None) -> LimitWord | None:
+def _newer(one: LimitReport | None, other: LimitReport | None) -> LimitReport | None:
     if one is None or other is None:
         return one or other
     return one if one.age_s <= other.age_s else other
--- a/indigoworks/gateway/front_exchange.py
+++ b/indigoworks/gateway/front_exchange.py
@@ -16,7 +16,7 @@
 from tornado.iostream import StreamClosedError
 
 from indigoworks.common.clock import Clock
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.gateway.client_request import ClientRequest
 from indigoworks.gateway.client_response import ClientResponse
 from indigoworks.gateway.header_names import HeaderNames
@@ -39,7 +39,7 @@
 class ExchangeHost(Protocol):
     """What an exchange needs of the server that it belongs to."""
 
-    in_progress: InProgress
+    in_progress: InProgressCounter
     is_stopping: bool
     limits: CallerLimits
 
@@ -170,7 +170,7 @@
             self._task.cancel()
 
     async def _run(self, request: ClientRequest) -> None:
-        with self._server.in_progress.one():
+        with self._server.in_progress.track():
             try:
                 answer = await self._answer(request)
             except asyncio.CancelledError:
--- a/indigoworks/gateway/front_server.py
+++ b/indigoworks/gateway/front_server.py
@@ -10,7 +10,7 @@
 
 from indigoworks.common.address import Address
 from indigoworks.common.clock import Clock
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.gateway.client_request import ClientRequest
 from indigoworks.gateway.client_response import ClientResponse
 from indigoworks.gateway.configuration_refusals import ConfigurationRefusals
@@ -49,7 +49,7 @@
         self._server = HTTPServer(self, max_header_size=HEADER_READ_BYTES)
         self._listeners: list[socket.socket] = []
         self._exchanges: WeakKeyDictionary[object, FrontExchange] = WeakKeyDictionary()
-        self.in_progress = InProgress()
+        self.in_progress = InProgressCounter()
         self.is_stopping = False
         self.limits = CallerLimits()
 
--- a/indigoworks/gateway/gateway.py
+++ b/indigoworks/gateway/gateway.py
@@ -12,7 +12,7 @@
 
 from indigoworks.common.boot_clock import BootClock
 from indigoworks.common.coalesced_call import CoalescedCall
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.metrics import Metrics
 from indigoworks.exchange.peer_address import PeerAddress
 from indigoworks.exchange.peer_directory import PEER_PREFIX, PeerDirectory, encode_peer
@@ -60,7 +60,7 @@
         self,
         active_settings: ActiveSettings,
         ports: PlatformPorts,
-        line_rates: LineRates,
+        line_rates: LineRateLimiter,
     ) -> None:
         self._active_settings = active_settings
         settings = active_settings.current
@@ -273,8 +273,8 @@
         self._control.use_server_stats(self._requests.server_stats)
         self._control.send_report_now = self._exchange.sender.send_soon
         send_soon = CoalescedCall(self._exchange.sender.send_soon)
-        self._requests.quarantine.on_unreported = send_soon.ask
-        self._requests.on_notice = send_soon.ask
+        self._requests.quarantine.on_unreported = send_soon.schedule
+        self._requests.on_notice = send_soon.schedule
         self._control.on_rows = self._requests.apply_rows
         self._control.owners_changed = self._requests.queue.capacity_changed
         for part in (self._platform, self._requests, self._control):
--- a/indigoworks/gateway/placement_queue.py
+++ b/indigoworks/gateway/placement_queue.py
@@ -61,7 +61,7 @@
 
     def settle(self, entry: WaitingRequest, cost_s: float) -> None:
         """Replace the charge of a finished request by its actual slot seconds."""
-        self._queues[entry.priority].give_back(entry, cost_s)
+        self._queues[entry.priority].release(entry, cost_s)
 
     def in_order(self, cost_s: float) -> Iterator[WaitingRequest]:
         """Yield the waiting requests in the order of placement if each costs `cost_s`."""
--- a/indigoworks/gateway/platform_ports.py
+++ b/indigoworks/gateway/platform_ports.py
@@ -27,7 +27,7 @@
     :ivar configuration_key: key of its row.
     :ivar read_evacuated_zone: returns the zone that a row of that table evacuates, by its key;
         None for other rows. The zone is in use again once the row is removed.
-    :ivar read_server_word: parses the header with a server's load report; None if unreadable.
+    :ivar read_server_load: parses the header with a server's load report; None if unreadable.
     :ivar read_server_notice: parses a server's notice from status and headers of a response.
     :ivar servers_table: table in which servers register themselves (empty part).
     """
@@ -43,5 +43,5 @@
     read_configuration: Callable[[bytes], Result[Configuration, ConfigurationInvalid]]
     read_server: Callable[[Row], Result[ServerRecord, ServerEntryUnreadable]]
     read_evacuated_zone: Callable[[str], str | None]
-    read_server_word: Callable[[str], SelfReportedLoad | None]
+    read_server_load: Callable[[str], SelfReportedLoad | None]
     read_server_notice: Callable[[int, HTTPHeaders], ServerNotice]
--- a/indigoworks/gateway/request_log.py
+++ b/indigoworks/gateway/request_log.py
@@ -3,7 +3,7 @@
 from eliot import log_message
 
 from indigoworks.common.clock import Clock
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.logging.log_level import LogLevel
 from indigoworks.gateway.client_request import ClientRequest
 from indigoworks.gateway.refusal import Refusal
@@ -26,7 +26,11 @@
     """
 
     def __init__(
-        self, server_stats: ServerStats, metrics: RequestMetrics, rates: LineRates, clock: Clock
+        self,
+        server_stats: ServerStats,
+        metrics: RequestMetrics,
+        rates: LineRateLimiter,
+        clock: Clock,
     ) -> None:
         self._server_stats = server_stats
         self._metrics = metrics
@@ -109,7 +113,7 @@
     def _has_room(self, message_type: str, is_failure: bool) -> bool:
         if self._rates.has_room(message_type, is_failure):
             return True
-        self._rates.drop(message_type)
+        self._rates.record_dropped(message_type)
         return False
 
     def _write_early(self, message_type: str, request: ClientRequest, **fields: object) -> None:
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -9,7 +9,7 @@
 from indigoworks.broker.group_locks import GroupLocks
 from indigoworks.broker.stored_locks import StoredLocks
 from indigoworks.common.clock import Clock
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.metrics import Metrics
 from indigoworks.exchange.datagram_endpoint import DatagramEndpoint, OpenDatagrams
 from indigoworks.exchange.partition_monitor import PartitionMonitor
@@ -66,7 +66,7 @@
         peers: PeerTable,
         directory: PeerDirectory,
         metrics: Metrics,
-        line_rates: LineRates,
+        line_rates: LineRateLimiter,
         clock: Clock,
         random: Random,
         own: PeerAddress,
@@ -80,7 +80,7 @@
             self.server_stats, platform.servers, clock, open_connection
         )
         self.sender = RequestSender(
-            ports.names, clock, ports.read_server_word, open_connection, ports.read_server_notice
+            ports.names, clock, ports.read_server_load, open_connection, ports.read_server_notice
         )
         self.sender.on_notice = platform.servers.record_notice
         self.sender.is_held_back = platform.servers.is_held_back
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 
 from indigoworks.common.clock import Clock
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.metrics import Labels, Metrics
 from indigoworks.exchange.peer_view import PeerView
 from indigoworks.gateway.control_subsystem import ControlSubsystem
@@ -30,7 +30,7 @@
         platform: PlatformSubsystem,
         peers: PeerView,
         health: StoreHealth,
-        line_rates: LineRates,
+        line_rates: LineRateLimiter,
         clock: Clock,
     ) -> None:
         self._requests = requests
--- a/indigoworks/platform/http_machine_list.py
+++ b/indigoworks/platform/http_machine_list.py
@@ -9,7 +9,7 @@
 from indigoworks.platform.errors import PlatformError
 from indigoworks.platform.http_requests import (
     PlatformHttpRequests,
-    unreadable_answer,
+    unreadable_response,
     without_effect,
 )
 from indigoworks.platform.machine_list import MachineList
@@ -31,7 +31,7 @@
             return Err(without_effect(sent.err_value))
         records = _parse_records(sent.ok_value.body)
         if sent.ok_value.status != HTTPStatus.OK or records is None:
-            return Err(unreadable_answer("the list of machines"))
+            return Err(unreadable_response("the list of machines"))
         return Ok(records)
 
 
--- a/indigoworks/platform/http_object_store.py
+++ b/indigoworks/platform/http_object_store.py
@@ -8,7 +8,7 @@
 from indigoworks.platform.errors import PlatformError
 from indigoworks.platform.http_requests import (
     PlatformHttpRequests,
-    unreadable_answer,
+    unreadable_response,
     without_effect,
 )
 from indigoworks.platform.object_store import ObjectStore
@@ -28,7 +28,7 @@
         if isinstance(sent, Err):
             return sent
         if sent.ok_value.status != HTTPStatus.OK:
-            return Err(unreadable_answer(f"object {name}"))
+            return Err(unreadable_response(f"object {name}"))
         return Ok(None)
 
     async def get(self, name: str) -> Result[bytes | None, PlatformError]:
@@ -40,7 +40,7 @@
         if answer.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
         if answer.status != HTTPStatus.OK:
-            return Err(unreadable_answer(f"object {name}"))
+            return Err(unreadable_response(f"object {name}"))
         return Ok(answer.body)
 
 
--- a/indigoworks/platform/http_requests.py
+++ b/indigoworks/platform/http_requests.py
@@ -12,12 +12,12 @@
     PlatformRateLimited,
     PlatformUnavailable,
 )
-from indigoworks.platform.platform_answer import PlatformAnswer
+from indigoworks.platform.platform_response import PlatformResponse
 
 REQUEST_TIMEOUT_S = 1.0
 DEFAULT_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 MAX_REQUESTS_IN_PROGRESS = 16
 
 _EXPECTED_STATUSES = frozenset({HTTPStatus.OK, HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT})
@@ -41,12 +41,12 @@
         self._client = SimpleAsyncHTTPClient(
             force_instance=True,
             max_clients=MAX_REQUESTS_IN_PROGRESS,
-            max_body_size=MAX_ANSWER_BYTES,
+            max_body_size=MAX_RESPONSE_BYTES,
         )
 
     async def send(
         self, method: str, path: str, body: bytes | None = None
-    ) -> Result[PlatformAnswer, PlatformError]:
+    ) -> Result[PlatformResponse, PlatformError]:
         """Send one request and wait for its whole answer.
 
         :returns: the answer where its status is 200, 404 or 409; PlatformUnavailable or
@@ -97,7 +97,7 @@
     return PlatformUnavailable(error.message, _CHECK_PLATFORM, error.retry_after_s)
 
 
-def unreadable_answer(what: str) -> PlatformUnavailable:
+def unreadable_response(what: str) -> PlatformUnavailable:
     """Return the error for an answer to a read whose body does not have the agreed shape."""
     return PlatformUnavailable(
         f"The platform's answer for {what} cannot be read.",
@@ -106,9 +106,9 @@
     )
 
 
-def _interpret(response: HTTPResponse) -> Result[PlatformAnswer, PlatformError]:
+def _interpret(response: HTTPResponse) -> Result[PlatformResponse, PlatformError]:
     if response.code in _EXPECTED_STATUSES:
-        return Ok(PlatformAnswer(response.code, response.body))
+        return Ok(PlatformResponse(response.code, response.body))
     return Err(_error_of(response.code, _retry_after_s(response)))
 
 
--- a/indigoworks/platform/http_table_store.py
+++ b/indigoworks/platform/http_table_store.py
@@ -12,7 +12,7 @@
 from indigoworks.platform.errors import PlatformError, VersionConflict
 from indigoworks.platform.http_requests import (
     PlatformHttpRequests,
-    unreadable_answer,
+    unreadable_response,
     without_effect,
 )
 from indigoworks.platform.row_write import RowWrite
@@ -38,10 +38,10 @@
         if answer.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
         if answer.status != HTTPStatus.OK:
-            return Err(unreadable_answer(f"row {key}"))
+            return Err(unreadable_response(f"row {key}"))
         row = _parse_row(answer.body)
         if row is None or row.key != key:
-            return Err(unreadable_answer(f"row {key}"))
+            return Err(unreadable_response(f"row {key}"))
         return Ok(row)
 
     async def transact(self, writes: Sequence[RowWrite]) -> Result[None, PlatformError]:
@@ -53,7 +53,7 @@
             return Ok(None)
         if sent.ok_value.status == HTTPStatus.CONFLICT:
             return Err(_conflict(writes))
-        return Err(unreadable_answer("a transaction"))
+        return Err(unreadable_response("a transaction"))
 
 
 def _encode_writes(writes: Sequence[RowWrite]) -> bytes:
--- a/indigoworks/platform/platform_answer.py
+++ b/indigoworks/platform/platform_response.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True)
-class PlatformAnswer:
+class PlatformResponse:
     """Status and whole body of an answer that an adapter has to interpret."""
 
     status: int
--- a/indigoworks/router/dispatcher.py
+++ b/indigoworks/router/dispatcher.py
@@ -158,7 +158,7 @@
     def _grant_slots(self) -> None:
         """Grant free slots to the next queued requests."""
         while self._queue and self._in_flight < self._limit() and self._pause_left_s() <= 0:
-            entry = self._queue.take(self._service_time.service_s())
+            entry = self._queue.grant_next(self._service_time.service_s())
             if entry is None:
                 break
             self._in_flight += 1
@@ -207,7 +207,7 @@
     def _release_slot(self, entry: QueueEntry, cost_s: float) -> None:
         entry.has_slot = False
         self._in_flight -= 1
-        self._queue.give_back(entry, cost_s)
+        self._queue.release(entry, cost_s)
         self._grant_slots()
 
     async def _send(self, request: DispatchRequest) -> DispatchResult:
--- a/indigoworks/router/http_server.py
+++ b/indigoworks/router/http_server.py
@@ -11,7 +11,7 @@
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
 from indigoworks.common.http_listener import HttpListener
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.router.limits import MAX_BODY_BYTES
 from indigoworks.router.router import Router
 from indigoworks.router.service_handler import CallerContext, ServiceHandler
@@ -31,7 +31,7 @@
 
     def __init__(self, router: Router, address: Address, other_rules: Sequence[HttpRule]) -> None:
         self._router = router
-        self._handling = InProgress()
+        self._handling = InProgressCounter()
         context = CallerContext(router, self._handling)
         rules: list[Any] = [(r"/v1(?:/.*)?", ServiceHandler, {"context": context})]
         rules.extend(other_rules)
@@ -60,7 +60,7 @@
     async def _finish_responses(self) -> None:
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_S):
-                await self._handling.wait_for_none()
+                await self._handling.wait_until_idle()
         except TimeoutError:
             log_message(
                 message_type="http:stop_cut", level="ERROR", in_progress=self._handling.count
--- a/indigoworks/router/router.py
+++ b/indigoworks/router/router.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry
 from result import Ok
 
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.common.incarnation import new_incarnation
 from indigoworks.common.task_failure import wait_for_failure
 from indigoworks.router import refusals
@@ -67,8 +67,8 @@
         self._group_id = settings.group_id
         self._member = _member(settings, random)
         self._is_stopping = False
-        self._handling = InProgress()
-        self._forwarded = InProgress()
+        self._handling = InProgressCounter()
+        self._forwarded = InProgressCounter()
         self._tasks: list[asyncio.Task[None]] = []
         self._stop_task: asyncio.Task[None] | None = None
         directory = ControllerDirectory(
@@ -177,7 +177,7 @@
     async def handle(self, request: CallerRequest) -> CallerResponse:
         """Answer a caller's request; cancelled if the caller disconnects."""
         started_s = self._clock.now()
-        with self._handling.one():
+        with self._handling.track():
             try:
                 response = await self._answer(request)
             except asyncio.CancelledError:
@@ -202,7 +202,7 @@
 
     async def _run(self, routed: RoutedRequest) -> CallerResponse:
         # A run with an idempotency key can outlast its caller's request: stop() waits for it too.
-        with self._handling.one():
+        with self._handling.track():
             try:
                 result = await self._path.run(routed)
             except Exception as error:
@@ -220,8 +220,8 @@
 
     async def _finish_in_progress(self) -> None:
         await self._clock.sleep(STOP_LINGER_S)
-        await self._handling.wait_for_none()
-        await self._forwarded.wait_for_none()
+        await self._handling.wait_until_idle()
+        await self._forwarded.wait_until_idle()
 
     async def _end(self) -> None:
         for task in self._tasks:
--- a/indigoworks/router/router_frames.py
+++ b/indigoworks/router/router_frames.py
@@ -1,7 +1,7 @@
 """Handles messages of the internal protocol that are sent to a router."""
 
 from indigoworks.common.clock import Clock
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.router.forward_service import ForwardService
 from indigoworks.router.view_follower import ViewFollower
 from indigoworks.wire import control_pb2
@@ -16,7 +16,7 @@
         member: control_pb2.Member,
         service: ForwardService,
         follower: ViewFollower,
-        in_progress: InProgress,
+        in_progress: InProgressCounter,
         clock: Clock,
     ) -> None:
         self._member = member
@@ -29,7 +29,7 @@
         """Handle a message and return the reply."""
         payload = frame.WhichOneof("payload")
         if payload == "forward_request":
-            with self._in_progress.one():
+            with self._in_progress.track():
                 return await self._service.forward(frame.forward_request)
         if payload == "cancel_request":
             return await self._service.cancel(frame.cancel_request)
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 from tornado.web import RequestHandler, stream_request_body
 
-from indigoworks.common.in_progress import InProgress
+from indigoworks.common.in_progress_counter import InProgressCounter
 from indigoworks.router import caller_headers as names
 from indigoworks.router import refusals
 from indigoworks.router.caller_request import CallerRequest
@@ -42,7 +42,7 @@
     """Dependencies shared by the handlers of a router."""
 
     router: Router
-    handling: InProgress
+    handling: InProgressCounter
 
 
 @stream_request_body
@@ -85,7 +85,7 @@
 
     async def get(self) -> None:
         """Answer a request whose body has been read; every method is handled alike."""
-        with self._handling.one():
+        with self._handling.track():
             response = await self._response()
             if response is not None:
                 self._write_response(response)
--- a/indigoworks/servers/server_limits.py
+++ b/indigoworks/servers/server_limits.py
@@ -6,7 +6,7 @@
 from eliot import log_message
 
 from indigoworks.common.clock import Clock
-from indigoworks.common.limit_word import LimitWord
+from indigoworks.common.limit_report import LimitReport
 from indigoworks.servers.server_record import ServerRecord
 
 PASSED_SHARE = 0.75
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReportedLimit:
-    """A reported limit, and the clock reading of the report; see `LimitWord`."""
+    """A reported limit, and the clock reading of the report; see `LimitReport`."""
 
     per_s: float | None
     at_s: float
@@ -69,7 +69,7 @@
             return
         self._set(server, None, now_s, is_from_peer=False)
 
-    def record_from_peer(self, server: ServerRecord, report: LimitWord) -> None:
+    def record_from_peer(self, server: ServerRecord, report: LimitReport) -> None:
         """Record the limit that a peer reports.
 
         A report must be newer than the known one by DOUBT_S: ages become inexact in transit, and
@@ -133,11 +133,11 @@
             each: known.per_s for each, known in self._reported.items() if known.per_s is not None
         }
 
-    def reported_limits(self) -> Iterable[tuple[str, LimitWord]]:
+    def reported_limits(self) -> Iterable[tuple[str, LimitReport]]:
         """Return the servers with the newest report on each."""
         now_s = self._clock.now()
         return [
-            (server_id, LimitWord(known.per_s, max(0.0, now_s - known.at_s)))
+            (server_id, LimitReport(known.per_s, max(0.0, now_s - known.at_s)))
             for server_id, known in self._reported.items()
         ]
 
--- a/indigoworks_lab/control_simulation/simulated_node.py
+++ b/indigoworks_lab/control_simulation/simulated_node.py
@@ -184,7 +184,7 @@
             read_configuration=read_configuration,
             read_server=read_server,
             read_evacuated_zone=read_evacuated_zone,
-            read_server_word=lambda text: None,
+            read_server_load=lambda text: None,
             read_server_notice=read_nothing,
         )
 
--- a/indigoworks_lab/crash_simulation/build_gateway.py
+++ b/indigoworks_lab/crash_simulation/build_gateway.py
@@ -98,7 +98,7 @@
         read_configuration=read_configuration,
         read_server=read_server,
         read_evacuated_zone=read_evacuated_zone,
-        read_server_word=lambda text: None,
+        read_server_load=lambda text: None,
         read_server_notice=read_simulated_notice,
     )
 
--- a/indigoworks_lab/crash_simulation/crash_gateway.py
+++ b/indigoworks_lab/crash_simulation/crash_gateway.py
@@ -8,7 +8,7 @@
 from indigoworks.common.address import Address
 from indigoworks.common.clock import LoopClock
 from indigoworks.common.coalesced_call import CoalescedCall
-from indigoworks.common.logging.line_rates import LineRates
+from indigoworks.common.logging.line_rate_limiter import LineRateLimiter
 from indigoworks.common.metrics import Metrics
 from indigoworks.exchange.datagram_endpoint import DatagramEndpoint
 from indigoworks.exchange.hub_selector import HubSelector
@@ -72,7 +72,7 @@
             self.peers,
             self.directory,
             self.metrics,
-            LineRates(clock),
+            LineRateLimiter(clock),
             clock,
             Random(address.boot),
             address,
@@ -98,8 +98,8 @@
             lambda datagram, to: send(self, datagram, to),
         )
         telling = CoalescedCall(self.sender.send_soon)
-        self.side.quarantine.on_unreported = telling.ask
-        self.side.on_notice = telling.ask
+        self.side.quarantine.on_unreported = telling.schedule
+        self.side.on_notice = telling.schedule
         self._sequence = 0
 
     def take_rows(self, rows: Sequence[Row]) -> None:
