--- a/indigoworks/admin/errors.py
+++ b/indigoworks/admin/errors.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class UnknownChange(UnknownNode):
-    """No accepted change has that id: it was refused, or never received."""
+    """No accepted change with that id is known: it was refused, or is not in the log (yet)."""
 
     kind: ClassVar[str] = "unknown_change"
 
--- a/indigoworks/request_losses/loss_cause.py
+++ b/indigoworks/request_losses/loss_cause.py
@@ -1,4 +1,4 @@
-"""Cause of the loss of a request, as its final log line shows it."""
+"""Cause of the loss of a request, from its final log line."""
 
 from indigoworks.request_story.log_line import LogLine
 
--- a/indigoworks/request_losses/loss_table.py
+++ b/indigoworks/request_losses/loss_table.py
@@ -1,6 +1,7 @@
-"""Table of lost requests by service, cause and time.
+"""Table of lost, refused and late requests by service, cause and time.
 
-A lost request was refused or cancelled, or its response was lost, late or a server error.
+A loss is a request that was refused, cancelled, lost without a response, or answered late or with a
+server error.
 """
 
 from collections import Counter
@@ -17,7 +18,7 @@
 
 
 class LossTable:
-    """Counts the lost requests that log lines record.
+    """Counts the losses that log lines record.
 
     :param window_s: length of the time windows, in seconds.
     """
