--- a/features/steps/platform_folder_reader_steps.py
+++ b/features/steps/platform_folder_reader_steps.py
@@ -201,7 +201,7 @@
     for value in documents:
         error = read_configuration(value).unwrap_err()
         assert isinstance(error, ConfigurationInvalid), value
-        assert error.message and "last sound one stays" in error.remedy
+        assert error.message and "last valid one stays" in error.remedy
 
 
 @then("the platform folder reads a server entry, and passes over unreadable ones")
--- a/indigoworks/platform/errors.py
+++ b/indigoworks/platform/errors.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class PlatformOutcomeUnknown(PlatformError):
-    """The answer was lost: a write may have taken effect. Read back before writing again."""
+    """The response was lost: a write may have taken effect. Read back before writing again."""
 
     kind: ClassVar[str] = "platform_outcome_unknown"
 
--- a/indigoworks/platform/http_machine_list.py
+++ b/indigoworks/platform/http_machine_list.py
@@ -19,7 +19,7 @@
 
 
 class HttpMachineList(MachineList):
-    """Reads the list of machines over HTTP. Each call is one request, bounded in time."""
+    """Reads the list of machines over HTTP. Each call is one request with a timeout."""
 
     def __init__(self, requests: PlatformHttpRequests) -> None:
         self._requests = requests
--- a/indigoworks/platform/http_object_store.py
+++ b/indigoworks/platform/http_object_store.py
@@ -17,13 +17,13 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """Stores and reads whole objects over HTTP. Each call is one request, bounded in time."""
+    """Stores and reads whole objects over HTTP. Each call is one request with a timeout."""
 
     def __init__(self, requests: PlatformHttpRequests) -> None:
         self._requests = requests
 
     async def put(self, name: str, content: bytes) -> Result[None, PlatformError]:
-        """Store `content` under `name`, replacing what stood there."""
+        """Store `content` under `name`, replacing any earlier content."""
         sent = await self._requests.send("PUT", _path(name), content)
         if isinstance(sent, Err):
             return sent
@@ -36,12 +36,12 @@
         sent = await self._requests.send("GET", _path(name))
         if isinstance(sent, Err):
             return Err(without_effect(sent.err_value))
-        answer = sent.ok_value
-        if answer.status == HTTPStatus.NOT_FOUND:
+        response = sent.ok_value
+        if response.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        if answer.status != HTTPStatus.OK:
+        if response.status != HTTPStatus.OK:
             return Err(unreadable_response(f"object {name}"))
-        return Ok(answer.body)
+        return Ok(response.body)
 
 
 def _path(name: str) -> str:
--- a/indigoworks/platform/http_requests.py
+++ b/indigoworks/platform/http_requests.py
@@ -26,13 +26,13 @@
 
 
 class PlatformHttpRequests:
-    """Sends one request at a time per call to the platform; never retries.
+    """Sends requests to the platform, one per call; never retries.
 
     Uses tornado's simple client: it raises the error of the connect call itself, so a refused
-    connection (nothing was sent) is told apart from a connection lost after sending.
+    connection (nothing was sent) can be distinguished from one lost after sending.
 
     :param base_url: address of the platform, such as "http://10.0.0.1:8080".
-    :param timeout_s: bound in seconds of each request, connecting included.
+    :param timeout_s: timeout of each request in seconds, connecting included.
     """
 
     def __init__(self, base_url: str, timeout_s: float = REQUEST_TIMEOUT_S) -> None:
@@ -47,9 +47,9 @@
     async def send(
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[PlatformResponse, PlatformError]:
-        """Send one request and wait for its whole answer.
+        """Send one request and wait for the whole response.
 
-        :returns: the answer where its status is 200, 404 or 409; PlatformUnavailable or
+        :returns: the response if its status is 200, 404 or 409; PlatformUnavailable or
             PlatformRateLimited when nothing took effect; PlatformOutcomeUnknown when the request
             may have taken effect.
         """
@@ -68,7 +68,7 @@
         except (HTTPClientError, OSError) as error:
             # A timeout or a reset may come after the request was sent: the platform may have
             # applied it, or may still apply it later.
-            return Err(self._answer_lost(error))
+            return Err(self._response_lost(error))
         return _interpret(response)
 
     def close(self) -> None:
@@ -82,25 +82,25 @@
             DEFAULT_RETRY_AFTER_S,
         )
 
-    def _answer_lost(self, error: Exception) -> PlatformOutcomeUnknown:
+    def _response_lost(self, error: Exception) -> PlatformOutcomeUnknown:
         return PlatformOutcomeUnknown(
-            f"No whole answer from the platform at {self._base_url} ({error}).",
+            f"No complete response from the platform at {self._base_url} ({error}).",
             _READ_BACK,
             DEFAULT_RETRY_AFTER_S,
         )
 
 
 def without_effect(error: PlatformError) -> PlatformError:
-    """Return the error of a request that changes nothing: a lost answer is just unavailability."""
+    """Return the error for a read: a lost response to it means only that it failed."""
     if not isinstance(error, PlatformOutcomeUnknown):
         return error
     return PlatformUnavailable(error.message, _CHECK_PLATFORM, error.retry_after_s)
 
 
 def unreadable_response(what: str) -> PlatformUnavailable:
-    """Return the error for an answer to a read whose body does not have the agreed shape."""
+    """Return the error for a response with an unexpected status or a malformed body."""
     return PlatformUnavailable(
-        f"The platform's answer for {what} cannot be read.",
+        f"The platform's response for {what} cannot be read.",
         "Check that platform_url points to the platform.",
         DEFAULT_RETRY_AFTER_S,
     )
--- a/indigoworks/platform/http_table_store.py
+++ b/indigoworks/platform/http_table_store.py
@@ -24,7 +24,7 @@
 
 
 class HttpTableStore(TableStore):
-    """Reads and writes rows over HTTP. Each call is one request, bounded in time."""
+    """Reads and writes rows over HTTP. Each call is one request with a timeout."""
 
     def __init__(self, requests: PlatformHttpRequests) -> None:
         self._requests = requests
@@ -34,12 +34,12 @@
         sent = await self._requests.send("GET", ROWS_PATH + quote(key, safe=""))
         if isinstance(sent, Err):
             return Err(without_effect(sent.err_value))
-        answer = sent.ok_value
-        if answer.status == HTTPStatus.NOT_FOUND:
+        response = sent.ok_value
+        if response.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        if answer.status != HTTPStatus.OK:
+        if response.status != HTTPStatus.OK:
             return Err(unreadable_response(f"row {key}"))
-        row = _parse_row(answer.body)
+        row = _parse_row(response.body)
         if row is None or row.key != key:
             return Err(unreadable_response(f"row {key}"))
         return Ok(row)
@@ -81,5 +81,5 @@
     keys = ", ".join(write.key for write in writes)
     return VersionConflict(
         f"A row of the transaction has another version than expected ({keys}).",
-        "Read the rows and decide anew.",
+        "Read the rows and decide again.",
     )
--- a/indigoworks/platform/machine_list.py
+++ b/indigoworks/platform/machine_list.py
@@ -10,7 +10,7 @@
 
 
 class MachineList(Protocol):
-    """The platform's list of machines. It lags, so it is used as a hint only."""
+    """The platform's list of machines. It may be out of date, so it is used only as a hint."""
 
     async def machines(self) -> Result[Sequence[MachineRecord], PlatformError]:
         """Return the machines that the platform lists now."""
--- a/indigoworks/platform/machine_record.py
+++ b/indigoworks/platform/machine_record.py
@@ -5,11 +5,11 @@
 
 @dataclass(frozen=True)
 class MachineRecord:
-    """One process that the platform believes to be there. The list lags: a hint, no authority.
+    """One process that the platform lists as running; the list may be out of date.
 
     :ivar role: "controller", "router" or "server".
     :ivar service: service of a server; empty for other roles.
-    :ivar host: IP number.
+    :ivar host: IP address.
     :ivar port: port of the control protocol; for a server its HTTP port.
     :ivar is_leaving: the platform plans to stop it.
     """
--- a/indigoworks/platform/object_store.py
+++ b/indigoworks/platform/object_store.py
@@ -8,10 +8,10 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's object store."""
+    """Stores whole objects under names in the platform's object store."""
 
     async def put(self, name: str, content: bytes) -> Result[None, PlatformError]:
-        """Store `content` under `name`, replacing what stood there."""
+        """Store `content` under `name`, replacing any earlier content."""
         ...
 
     async def get(self, name: str) -> Result[bytes | None, PlatformError]:
--- a/indigoworks/platform/platform_response.py
+++ b/indigoworks/platform/platform_response.py
@@ -1,11 +1,11 @@
-"""A whole HTTP answer of the platform."""
+"""A whole HTTP response of the platform."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class PlatformResponse:
-    """Status and whole body of an answer that an adapter has to interpret."""
+    """Status and whole body of a response, which an adapter interprets."""
 
     status: int
     body: bytes
