--- a/indigoworks/gateway/attempt_gate.py
+++ b/indigoworks/gateway/attempt_gate.py
@@ -1,4 +1,4 @@
-"""Sends attempts of suspect requests to servers one at a time."""
+"""Allows one attempt of a suspect request at a time, by a lock."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
         return self._crash_attribution.suspect_mark(request) != 0
 
     async def lock(self, state: RequestState, limit_s: float) -> AttemptLock | Refusal | None:
-        """Wait until no other attempt is in flight.
+        """Wait until no other attempt is in flight or, without locks, for verdicts on own attempts.
 
         :param limit_s: clock reading until which the request may wait for the lock.
         :returns: the lock, a refusal if it is not available in time, or None if locks cannot be
@@ -44,14 +44,15 @@
         lease_s = state.deadline_s - self._clock.now() + VERDICT_S
         lock = await self._locks.acquire(mark, limit_s, lease_s)
         if lock is None:
-            # A lock is released when the verdict on its attempt is known; wait for that here, too.
+            # A lock would be released after the verdict on its attempt: wait for own verdicts here.
             await self._crash_attribution.wait_for_verdicts(limit_s)
         return lock
 
     def unlock(self, state: RequestState, lock: AttemptLock | None, crashed_before: int) -> None:
         """Release the lock once it is known whether a server crashed under this attempt.
 
-        :param crashed_before: servers that had crashed under the request when it was acquired.
+        :param crashed_before: number of servers that had crashed under the request when the lock
+            was acquired.
         """
         if lock is None:
             return
--- a/indigoworks/gateway/dispatch_queue.py
+++ b/indigoworks/gateway/dispatch_queue.py
@@ -23,10 +23,10 @@
 class DispatchQueue:
     """Gives each request a server with capacity, or refuses it if it would be answered too late.
 
-    Higher priorities go first; within a priority, slots are shared fairly among groups. A request
-    waits only while it is expected to be answered within its limit, estimated from the requests in
-    flight from all gateways, those ahead of it in the queue, and measured service times. Requests
-    for a key wait for its owner, others for any server of their service.
+    The lowest `priority` goes first; within a priority, slots are shared fairly among groups. A
+    request waits only while it is expected to be answered within its limit, estimated from the
+    requests in flight from all gateways, those ahead of it in the queue, and measured service
+    times. Requests for a key wait for its owner, others for any server of their service.
 
     :ivar admission: estimates of waiting times, and scheduled retries.
     :param counts_all: every request to the servers is placed by this object. Capacity is then freed
--- a/indigoworks/gateway/gateway.py
+++ b/indigoworks/gateway/gateway.py
@@ -215,7 +215,7 @@
         self._tasks.append(asyncio.ensure_future(self._guarded(work)))
 
     async def _guarded(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task that must not end; an exception ends the process, which is then restarted."""
+        """Run a background task; log an exception, which ends the task but not the process."""
         try:
             await work
         except asyncio.CancelledError:
--- a/indigoworks/gateway/gateway_settings.py
+++ b/indigoworks/gateway/gateway_settings.py
@@ -35,10 +35,11 @@
     :ivar metrics_address: HTTP address of metrics and administration.
     :ivar server_heartbeat_s: period in which servers renew their entries.
     :ivar drain_s: time after which a draining server must get no new requests.
-    :ivar configuration_apply_s: time after which a new configuration must be in force.
-    :ivar bounds_cold_servers: whether requests to cold servers are rate-limited.
+    :ivar configuration_apply_s: time within which a new configuration must be in force.
+    :ivar bounds_cold_servers: whether requests to cold servers are rate-limited: they are if the
+        file has `cold_overshoot`, whatever its value.
     :ivar stop_grace_s: time from the stop signal until the process is killed.
-    :ivar hold_max_s: longest hold that a server accepts.
+    :ivar hold_max_s: longest lease on keys (hold) that a server accepts.
     :ivar retry_ratio: retries per request within `retry_window_s`, in addition to `retry_slack`.
     """
 
--- a/indigoworks/gateway/platform_subsystem.py
+++ b/indigoworks/gateway/platform_subsystem.py
@@ -114,7 +114,7 @@
         ports.health.eras.on_new(self._begin_era)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Apply the settings that can change in a running process."""
+        """Apply changed settings; `configuration_apply_s` changes only with a restart."""
         self.servers.set_heartbeat(settings.server_heartbeat_s)
         self._drain_s = settings.drain_s
         self._configuration_apply_s = settings.configuration_apply_s
--- a/indigoworks/gateway/reachability_monitor.py
+++ b/indigoworks/gateway/reachability_monitor.py
@@ -27,8 +27,8 @@
 class ReachabilityMonitor:
     """Opens a test connection to a server that has been silent for too long.
 
-    A server is unreachable after two failed connections in a row. It is then checked until a
-    connection succeeds or it has left the server list.
+    A server is unreachable after one failed connection of a request, or two failed test connections
+    in a row. It is then checked until a connection succeeds or it has left the server list.
     """
 
     def __init__(
--- a/indigoworks/gateway/refusal.py
+++ b/indigoworks/gateway/refusal.py
@@ -5,7 +5,7 @@
 
 
 class RefusalReason(Enum):
-    """Reasons of a refusal; the request has not run and never will."""
+    """Reasons of a refusal; the caller is told that the request has not run and never will."""
 
     NO_CONFIGURATION = "no_configuration"
     CONFIGURATION_BEHIND = "configuration_behind"
--- a/indigoworks/gateway/request_log.py
+++ b/indigoworks/gateway/request_log.py
@@ -117,7 +117,7 @@
         return False
 
     def _write_early(self, message_type: str, request: ClientRequest, **fields: object) -> None:
-        """Log a request that ended before it had a route and a service."""
+        """Log a request that the configuration refuses, without the fields of a `RequestState`."""
         if self._has_room(message_type, True):
             log_message(
                 message_type=message_type,
--- a/indigoworks/gateway/request_pipeline.py
+++ b/indigoworks/gateway/request_pipeline.py
@@ -110,7 +110,7 @@
     async def _send_placed(self, state: RequestState, is_locked: bool) -> ClientResponse | None:
         """Place and send; return the final response, or None if another attempt is due.
 
-        :param is_locked: whether the lock excludes other attempts of a suspect request.
+        :param is_locked: the gate admitted a suspect request, perhaps without a lock.
         """
         placement = await self._place_unless_quarantined(state)
         if isinstance(placement, Refusal):
@@ -121,7 +121,8 @@
             # another attempt of it.
             self._return_placement(state, placement)
             return None
-        # It keeps its server, but gets the deadline and limits in force.
+        # It keeps its server, but gets the route and deadline in force; a refusal is only logged
+        # and counted.
         self._route_again(state)
         answer = await self._send(state, placement)
         if answer.result is ExchangeResult.ANSWERED and not answer.is_not_run:
@@ -132,7 +133,10 @@
         return None
 
     def _route_again(self, state: RequestState) -> ClientResponse | None:
-        """Route by the configuration in force; return the final response if there is no route."""
+        """Route by the configuration in force; return the final response if it cannot be routed.
+
+        One that may have run is lost if its route is gone; it is refused if a service or key is.
+        """
         if state.may_have_run and not self._routing.has_route(state):
             return self._lost(state, "no_route")
         service_name = state.service.name
--- a/indigoworks/gateway/request_routing.py
+++ b/indigoworks/gateway/request_routing.py
@@ -32,7 +32,10 @@
         self._first_tries = FirstAttempts(clock)
 
     def route(self, request: ClientRequest) -> RequestState | ClientResponse:
-        """Return the state of a routed request, or the final response if it has no route."""
+        """Return the state of a routed request, or the final response if it cannot be routed.
+
+        It cannot without a configuration, a route, the route's service, or the key that this needs.
+        """
         configuration = self._configurations.current()
         if configuration is None:
             return self._refusals.refused(request, RefusalReason.NO_CONFIGURATION)
@@ -60,8 +63,8 @@
     def route_again(self, state: RequestState) -> ClientResponse | None:
         """Reroute a request by the configuration in force.
 
-        Returns the final response if the request has no route. The request keeps its service if
-        the route still includes it.
+        Returns the final response if the route, its service or a key is missing. The request keeps
+        its service if the route still includes it.
         """
         configuration = self._configurations.current()
         if configuration is None or configuration.version == state.configuration_version:
--- a/indigoworks/gateway/request_state.py
+++ b/indigoworks/gateway/request_state.py
@@ -15,18 +15,20 @@
 
     :ivar deadline_s: clock reading of the caller's deadline or, if earlier, the route's time-out.
     :ivar first_attempt_s: estimated clock reading of the first attempt of its caller.
-    :ivar tried: ids of the servers that it was sent to, in order.
+    :ivar tried: ids of the servers chosen for its attempts, in order, also of those not reached.
     :ivar share: the fair-share group that it is charged to, with its weight.
     :ivar waiting: its newest queue entry, with the placement.
     :ivar waited_s: seconds that it waited here for a server with capacity or an owner.
     :ivar may_have_run: an attempt ended without a proof that the request did not run.
     :ivar servers_crashed: number of servers that crashed while they ran it.
-    :ivar known_crash_windows: windows of the newest crashes under the request that were known when
-        it was last sent, as returned by the quarantine.
-    :ivar doubts: numbers of the doubts about the request that were open at that time.
-    :ivar doubt_window: crash window of that time.
+    :ivar misdirected_count: retries asked for at a keyed service, for any reason.
+    :ivar known_crash_windows: as `Quarantine.known_windows` returned them when the request was last
+        sent. Crashes in one window of time count once; see quarantine/crash_ids.py.
+    :ivar doubts: numbers of the unconfirmed crashes under the request at that time.
+    :ivar doubt_window: window of that time, if any request was in doubt then.
     :ivar is_served: whether the server of the last attempt ran it and answered.
-    :ivar verdict: task that determines whether the last server crashed; None if it answered.
+    :ivar verdict: task that determines whether a server crashed, for the last attempt that was sent
+        and not answered; None if there was none.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         self._unsent = 0
 
     def adopt_route(self, rerouted: "RequestState") -> None:
-        """Adopt route, service and deadline of the same request after it was routed again."""
+        """Adopt the result of routing the same request again, with share and deadline."""
         self.route = rerouted.route
         self.service = rerouted.service
         self.configuration_version = rerouted.configuration_version
--- a/indigoworks/gateway/retry_policy.py
+++ b/indigoworks/gateway/retry_policy.py
@@ -9,18 +9,22 @@
 from indigoworks.gateway.server_response import ServerResponse
 
 MISDIRECTED_PAUSE_S = 0.02
-"""Pause before a retry at the key's owner after a server said that it does not hold the key."""
+"""Pause before the first retry of a request at a keyed service; the n-th waits n times as long. The
+usual reason is a server that does not hold the key (421), but it applies to any."""
 
 MAX_MISDIRECTED = 3
-"""Most retries of one request for that reason."""
+"""Most retries of one request at a keyed service, for any reason."""
 
 MAX_NOT_SENT = 4
-"""Most attempts of one request that reach no server."""
+"""Most retries of one request after attempts that reached no server."""
 
 
 class RetryPolicy:
     """Retries a request that provably did not run, whatever its method, and one that may have run
-    only if it is repeatable. Each retry consumes one of the retry budget.
+    only if it is repeatable.
+
+    At a keyed service, a request that its server refused is retried only after a 421. A retry
+    consumes one of the retry budget unless the attempt before it reached no server.
     """
 
     def __init__(
@@ -36,7 +40,11 @@
         self._clock = clock
 
     async def may_retry(self, state: RequestState, answer: ServerResponse) -> bool:
-        """Return whether to retry a request after an attempt; if so, the budget is charged."""
+        """Return whether to retry a request after an attempt.
+
+        Records in `state` whether the request may have run, consumes the retry from the budget,
+        and pauses before a retry at a keyed service.
+        """
         state.may_have_run |= answer.may_have_run
         if self._clock.now() >= state.deadline_s:
             return False
--- a/indigoworks/gateway/waiting_request.py
+++ b/indigoworks/gateway/waiting_request.py
@@ -22,8 +22,9 @@
     """Queue entry of one request, up to its placement at a server and its end.
 
     :ivar key: key as a number; None for a service without keys.
-    :ivar priority: rank, 0 is the most urgent; requests that can only be late go last.
-    :ivar tried: servers that already got it, which are excluded.
+    :ivar priority: rank, the lowest goes first: 0 is the most urgent of a route,
+        SCHEDULED_RETRY_RANK precedes it, and requests that can only be late go last.
+    :ivar tried: servers chosen for its earlier attempts, which are excluded.
     :ivar limit_s: clock reading up to which it is worth waiting for its response.
     :ivar deadline_s: clock reading by which it has ended in any case.
     :ivar content: the request; None if it came from another gateway.
