--- a/features/steps/gateway_owner_proof_steps.py
+++ b/features/steps/gateway_owner_proof_steps.py
@@ -9,7 +9,7 @@
 from indigoworks.ownership.hold_policy import HOLD_S
 from indigoworks.ownership.key_grant import KeyGrant
 from indigoworks.ownership.ownership_table import KEY_COUNT
-from indigoworks.servers.server_list import REMEMBERED_S
+from indigoworks.servers.server_list import RETENTION_S
 
 DRIFT = 50e-6
 """By which two steady clocks may well differ."""
@@ -61,7 +61,7 @@
         world.list_server("a", 50, is_draining=True)
         if "is listed no more" in state:
             world.servers.remove("a")
-            world.clock._now_s += REMEMBERED_S + 1.0
+            world.clock._now_s += RETENTION_S + 1.0
             world.servers.forget_old()
         world.name_leader(4, "n2", "boot-9")
         before = world.leadership.row
@@ -146,7 +146,7 @@
 def step_forgotten(context, name):
     world = context.proof
     world.servers.remove(name)
-    step_time(context, REMEMBERED_S + 1.0)
+    step_time(context, RETENTION_S + 1.0)
     world.servers.forget_old()
     assert world.servers.get(name) is None
 
--- a/features/steps/gateway_relay_steps.py
+++ b/features/steps/gateway_relay_steps.py
@@ -225,7 +225,7 @@
 
 @when("gateway relay time passes the moment for which such a gateway is left alone")
 def step_moment(context):
-    context.relay_clock._now_s += relay_selector.ASKS_ANOTHER_S + 0.01
+    context.relay_clock._now_s += relay_selector.UNAVAILABLE_S + 0.01
 
 
 @when('the store has left gateway "a" without an answer for {time_s:g} s')
--- a/features/steps/gateway_server_steps.py
+++ b/features/steps/gateway_server_steps.py
@@ -82,7 +82,7 @@
 
 @when("the gateway remembers no longer")
 def remembers(context):
-    advance(context, server_list.REMEMBERED_S - REST_S)
+    advance(context, server_list.RETENTION_S - REST_S)
     context.gateway_list.forget_old()
     assert context.gateway_list.get("a") is not None
     advance(context, 2 * REST_S)
--- a/indigoworks/exchange/member_list.py
+++ b/indigoworks/exchange/member_list.py
@@ -6,7 +6,7 @@
 from indigoworks.exchange.peer_report import PeerReport, node_checksum
 from indigoworks.exchange.server_load import ServerLoad
 
-REMEMBERED_REPORTS = 64
+MAX_KEPT_REPORTS = 64
 """Number of own reports kept: more than a process sends while a hub's aggregate is live."""
 
 
@@ -27,7 +27,7 @@
     def record_sent(self, sequence: int, loads: tuple[ServerLoad, ...]) -> None:
         """Record a report that was sent to a hub."""
         self._sent[sequence] = self._clock.now(), loads
-        while len(self._sent) > REMEMBERED_REPORTS:
+        while len(self._sent) > MAX_KEPT_REPORTS:
             del self._sent[next(iter(self._sent))]
 
     def record_report(self, report: PeerReport, age_s: float) -> tuple[ServerLoad, ...]:
--- a/indigoworks/exchange/peer_table.py
+++ b/indigoworks/exchange/peer_table.py
@@ -13,7 +13,7 @@
 LIVE_S = 1.0
 """Age of its newest report up to which a peer counts as live."""
 
-SILENT_MEMORY_S = 600.0
+SILENT_RETENTION_S = 600.0
 """Time without a report after which a peer counts as removed."""
 
 MAX_SAMPLES = 2000
@@ -141,7 +141,7 @@
         """Return whether a peer that was heard recently is not live now, here or at a hub."""
         now_s = self._clock.now()
         ages_s = (now_s - (self.heard_time_s(node) or now_s) for node in self._times_s)
-        return any(LIVE_S < age_s < SILENT_MEMORY_S for age_s in ages_s)
+        return any(LIVE_S < age_s < SILENT_RETENTION_S for age_s in ages_s)
 
     def drain_samples(self) -> list[KeySample]:
         """Return and remove the samples that arrived since the last call."""
--- a/indigoworks/gateway/server_rate_limiter.py
+++ b/indigoworks/gateway/server_rate_limiter.py
@@ -4,7 +4,7 @@
 
 from indigoworks.common.clock import Clock
 from indigoworks.servers.cold_servers import ColdServers
-from indigoworks.servers.server_limits import PASSED_SHARE, ServerLimits
+from indigoworks.servers.server_limits import GRANTED_SHARE, ServerLimits
 from indigoworks.servers.server_record import ServerRecord
 
 BURST = 2
@@ -133,7 +133,7 @@
 
     def _group_rate_per_s(self, server: ServerRecord) -> float | None:
         limits = self._limits
-        limit_per_s = limits.passed_per_s(server.server_id) if limits.has_any() else None
+        limit_per_s = limits.granted_per_s(server.server_id) if limits.has_any() else None
         cold_per_s = self._cold_per_s(server) if self._cold.has_any() else None
         if limit_per_s is None or cold_per_s is None:
             return cold_per_s if limit_per_s is None else limit_per_s
@@ -144,7 +144,7 @@
             return None
         limit = self._cold.limit_of(server.service)
         assert limit is not None
-        return PASSED_SHARE * limit.requests_per_s
+        return GRANTED_SHARE * limit.requests_per_s
 
     def _next_permit_s(self, server: ServerRecord, pause_s: float) -> float:
         """Return the clock reading of the next permit without a burst.
--- a/indigoworks/relay/relay_selector.py
+++ b/indigoworks/relay/relay_selector.py
@@ -16,11 +16,11 @@
 FAILED_S = 3.0
 """Time for which a relay that failed is not selected."""
 
-ASKS_ANOTHER_S = 1.0
+UNAVAILABLE_S = 1.0
 """Time for which a gateway is not selected that uses a relay itself. Within its own wait for a
 response (RELAY_PROBE_WAIT_S and a margin of 0.3 s) it detects whether that one failed."""
 
-ASKED_S = 3.0
+ACTING_S = 3.0
 """Time for which a process counts as relay after the last request to it."""
 
 
@@ -187,7 +187,7 @@
 
         When the relay of a zone has failed, its successor may detect that later than others.
         """
-        self._failed_until_s[node] = self._clock.now() + ASKS_ANOTHER_S
+        self._failed_until_s[node] = self._clock.now() + UNAVAILABLE_S
 
     def record_request(self) -> None:
         """Record that another gateway sent a request to this one."""
@@ -195,7 +195,7 @@
 
     def is_acting(self) -> bool:
         """Return whether other gateways use this one as relay."""
-        return self._clock.now() - self._asked_s < ASKED_S
+        return self._clock.now() - self._asked_s < ACTING_S
 
     def probe_wait_s(self) -> float:
         """Return the longest wait of the feed that probes the path to the store."""
--- a/indigoworks/relay/relayed_store.py
+++ b/indigoworks/relay/relayed_store.py
@@ -29,16 +29,16 @@
 """A relay whose newest response of the store is older is not used: its rows may be out of date, and
 the requester may well reach the store itself."""
 
-ANSWER_MARGIN_S = 0.3
+RESPONSE_MARGIN_S = 0.3
 """Longest wait for the headers of a relay's response beyond the requested wait."""
 
-LARGE_ANSWER_MARGIN_S = 1.0
+LARGE_RESPONSE_MARGIN_S = 1.0
 """The same for tables of large rows, as long as for the store itself: where requests fill a slow
 link, packets queue there for 0.3 s and more, and the store's response would fill it for seconds. In
 a simulated zone with 0.35 s of queued packets on its slow links, versions were in force after 3.35
 to 6.81 s with the shorter margin and after 0.81 to 1.38 s with this one."""
 
-MAX_RELAYS_ASKED = 3
+MAX_RELAY_ATTEMPTS = 3
 """Relays tried in turn before the store. If the store refuses a third of all gateways at the same
 moment, one of three relays responds in 96 % of the cases."""
 
@@ -199,7 +199,7 @@
         to the store, and the more relays the store refuses, the more such calls there would be.
         """
         asked: set[str] = set()
-        while len(asked) < MAX_RELAYS_ASKED:
+        while len(asked) < MAX_RELAY_ATTEMPTS:
             relay = self._relay_for(table, asked)
             if relay is None or relay.node in asked:
                 return None
@@ -227,8 +227,8 @@
         message = HttpMessage("GET", f"{FEED_PATH}?{urlencode(query)}")
         sent_s = self._clock.now()
         is_large = table in self._large_tables
-        margin_s = LARGE_ANSWER_MARGIN_S if is_large else ANSWER_MARGIN_S
-        grace_s = LARGE_ANSWER_MARGIN_S if is_large and self._choice.has_slow_link() else 0.0
+        margin_s = LARGE_RESPONSE_MARGIN_S if is_large else RESPONSE_MARGIN_S
+        grace_s = LARGE_RESPONSE_MARGIN_S if is_large and self._choice.has_slow_link() else 0.0
         result = await self._client.send(relay, lambda: message, wait_s + margin_s, grace_s)
         if isinstance(result, Err):
             self._failed(relay, result.unwrap_err().kind)
--- a/indigoworks/rowstore/store_health.py
+++ b/indigoworks/rowstore/store_health.py
@@ -12,7 +12,7 @@
 
 MS_PER_S = 1000.0
 
-REMEMBERED_TROUBLES = 200
+MAX_KEPT_TROUBLES = 200
 
 SAME_TROUBLE_S = 0.2
 """Largest shift by which the same trouble may be reported again, due to the response's delay."""
@@ -37,7 +37,7 @@
         self._proof_s: float | None = None
         self._lost_since_s: float | None = None
         self._last_trouble_s: float | None = None
-        self._troubles: deque[StoreTrouble] = deque(maxlen=REMEMBERED_TROUBLES)
+        self._troubles: deque[StoreTrouble] = deque(maxlen=MAX_KEPT_TROUBLES)
 
     def record_response(self, sent_s: float, store_time_s: float) -> float:
         """Record a response to a request that was sent at `sent_s`.
--- a/indigoworks/rowstore/table_follower.py
+++ b/indigoworks/rowstore/table_follower.py
@@ -19,7 +19,7 @@
 MAX_RETRY_DELAY_S = 0.4
 """Longest delay between failed calls."""
 
-LARGE_ANSWER_BYTES = 32 * 1024
+LARGE_RESPONSE_BYTES = 32 * 1024
 """Size of values from which a response is logged: it takes a 5 Mbit/s link 0.05 s and more. At most
 a few such responses arrive each second."""
 
@@ -140,7 +140,7 @@
             return
         response = result.unwrap()
         value_bytes = sum(len(each.value) for each in response.rows)
-        if value_bytes < LARGE_ANSWER_BYTES:
+        if value_bytes < LARGE_RESPONSE_BYTES:
             return
         now_s = self._clock.now()
         log_message(
--- a/indigoworks/servers/server_limits.py
+++ b/indigoworks/servers/server_limits.py
@@ -9,12 +9,12 @@
 from indigoworks.common.limit_report import LimitReport
 from indigoworks.servers.server_record import ServerRecord
 
-PASSED_SHARE = 0.75
+GRANTED_SHARE = 0.75
 """Share of a limit that its broker grants. While gateways on two sides of a partition use two
 brokers, these grant one and a half times the limit together. That is the allowed excess, beside
 five requests in 4 s, of which the two token buckets use four."""
 
-MIN_PASSED_PER_S = 0.2
+MIN_GRANTED_PER_S = 0.2
 """Least rate that is granted: at a rate of 0 no response could show that the limit has ended. Five
 requests in 4 s are allowed beyond a limit."""
 
@@ -22,7 +22,7 @@
 """Time without a response that names a limit after which a response without it ends the limit:
 responses overtake each other, and some kinds of responses may not name it."""
 
-TOLD_ENDED_S = 10.0
+REPORT_ENDED_S = 10.0
 """Time for which peers are told that a limit has ended, and their older reports are ignored."""
 
 CONFIRMED_S = 10.0
@@ -89,7 +89,7 @@
 
     def drop_ended(self) -> None:
         """Remove the limits that ended long ago."""
-        earliest_s = self._clock.now() - TOLD_ENDED_S
+        earliest_s = self._clock.now() - REPORT_ENDED_S
         for server_id, known in list(self._reported.items()):
             if known.per_s is None and known.at_s < earliest_s:
                 del self._reported[server_id]
@@ -113,10 +113,10 @@
         known = self._reported.get(server_id)
         return None if known is None else known.per_s
 
-    def passed_per_s(self, server_id: str) -> float | None:
+    def granted_per_s(self, server_id: str) -> float | None:
         """Return the granted rate to a server in requests a second; None: it names no limit."""
         per_s = self.per_s(server_id)
-        return None if per_s is None else max(PASSED_SHARE * per_s, MIN_PASSED_PER_S)
+        return None if per_s is None else max(GRANTED_SHARE * per_s, MIN_GRANTED_PER_S)
 
     def is_confirmed(self, server_id: str) -> bool:
         """Return whether the report on a server is younger than CONFIRMED_S."""
--- a/indigoworks/servers/server_list.py
+++ b/indigoworks/servers/server_list.py
@@ -15,13 +15,13 @@
 from indigoworks.servers.server_record import ServerRecord
 from indigoworks.servers.zone_evacuations import ZoneEvacuations
 
-REMEMBERED_S = 60.0
+RETENTION_S = 60.0
 """Time for which a server that left the list can still be looked up."""
 
 TROUBLE_HEARTBEATS = 2
 """Heartbeats within which every running server is listed again after trouble of the store."""
 
-LATE_TROUBLE_S = 1.0
+TROUBLE_DETECTION_S = 1.0
 """Longest time from the start of trouble to the first failed call that shows it."""
 
 TROUBLE_MARGIN_S = 1.0
@@ -189,7 +189,7 @@
         limits = self.notices.limits
         if not limits.has_any() or not limits.is_confirmed(server_id):
             return None
-        return limits.passed_per_s(server_id)
+        return limits.granted_per_s(server_id)
 
     def is_held_back(self, server_id: str) -> bool:
         """Return whether what a server asked for in its responses forbids a request to it now."""
@@ -248,7 +248,7 @@
 
     def forget_old(self) -> None:
         """Remove servers that vanished long ago."""
-        earliest_s = self._clock.now() - REMEMBERED_S
+        earliest_s = self._clock.now() - RETENTION_S
         for server_id, (record, at_s) in list(self._vanished.items()):
             if at_s < earliest_s:
                 del self._vanished[server_id]
@@ -282,7 +282,7 @@
         # Trouble that a relay reports after the entry vanished may concern only the relay's path:
         # the server has counted as leaving, and still does.
         trouble_s = self._health.last_trouble_before(
-            vanished[1] + LATE_TROUBLE_S, reported_by_s=vanished[1]
+            vanished[1] + TROUBLE_DETECTION_S, reported_by_s=vanished[1]
         )
         if trouble_s is None or vanished[1] - trouble_s > self._settle_s:
             return False
