--- a/indigoworks/common/__init__.py
+++ b/indigoworks/common/__init__.py
@@ -1,1 +1,1 @@
-"""Parts shared by the router and the controller."""
+"""Code shared by the processes of the system: clocks, queues, logs, metrics and key ranges."""
--- a/indigoworks/common/address.py
+++ b/indigoworks/common/address.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, order=True)
 class Address:
-    """IP number and TCP port."""
+    """IP address and TCP port."""
 
     host: str
     port: int
--- a/indigoworks/common/clock.py
+++ b/indigoworks/common/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time as the product sees it."""
+"""Port to a monotonic clock, and the event loop's clock behind it."""
 
 import asyncio
 from typing import Protocol
@@ -7,7 +7,7 @@
 class Clock(Protocol):
     """A monotonic clock of one process, in seconds since an arbitrary moment.
 
-    Readings of two processes never compare. The lab replaces it by clocks that drift or freeze.
+    Readings of different processes are not comparable. Simulations use clocks that drift or freeze.
     """
 
     def now(self) -> float:
@@ -20,7 +20,7 @@
 
 
 class LoopClock:
-    """The clock of the running event loop. Under the lab's loop it is virtual."""
+    """The clock of the running event loop; virtual under the simulations' loop."""
 
     def now(self) -> float:
         """Return the loop's monotonic time, in seconds."""
--- a/indigoworks/common/errors.py
+++ b/indigoworks/common/errors.py
@@ -1,4 +1,4 @@
-"""Base of the typed errors of the product."""
+"""Base class of the product's typed errors."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,11 +8,11 @@
 class IndigoworksError(Exception):
     """An error whose text names what went wrong and what to do about it.
 
-    Functions of the product return it inside `result.Err`; only programming faults are raised.
+    Functions of the product return it inside `result.Err`; only programming errors are raised.
 
     :ivar message: what went wrong, one sentence.
     :ivar remedy: what the reader can do, one sentence.
-    :ivar retry_after_s: seconds after which a repeat may succeed; 0 where a repeat is pointless.
+    :ivar retry_after_s: seconds after which a retry may succeed; 0 where a retry is pointless.
     """
 
     message: str
--- a/indigoworks/common/fair_entry.py
+++ b/indigoworks/common/fair_entry.py
@@ -1,17 +1,17 @@
-"""What a fair queue needs to know of a waiting request."""
+"""A waiting request, as the fair queue sees it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(eq=False)
 class FairEntry:
-    """One request that waits for a slot; parts that queue requests extend it.
+    """One request that waits for a slot; code that queues requests extends it.
 
     :ivar group: group that it is charged to.
     :ivar weight: weight of the group.
     :ivar concurrency_limit: requests of the group that may be in progress; None: no limit.
-    :ivar charged: cost charged when the slot was given, in seconds of a slot.
-    :ivar sequence: order of arrival, where requests can come in late from another queue.
+    :ivar charged_s: cost charged when the slot was granted, in seconds of a slot.
+    :ivar sequence: order of arrival; used where requests can move here from another queue.
     """
 
     group: str
--- a/indigoworks/common/fair_queue.py
+++ b/indigoworks/common/fair_queue.py
@@ -8,17 +8,18 @@
 from indigoworks.common.group_queue import EntryT, GroupQueue
 
 MIN_COST_S = 1e-6
-"""Cost by which requests are taken to differ at least where their order is foretold."""
+"""Smallest cost of a request in predictions of the order: with 0, all requests of a group would
+have the same start tag."""
 
 
 class FairQueue(Generic[EntryT]):
     """Start-time fair queueing by seconds of a slot.
 
     Each group has a virtual time that advances by cost / weight; the waiting group with the
-    smallest one goes next. An idle group keeps no credit: when it returns it starts at the queue's
-    virtual time, so what it left unused was lent to the others, and it has its share back at once.
-    The cost is charged by an estimate when a slot is given and corrected when it is given back, so
-    a group with slow requests gets no more slot time than one with fast requests.
+    smallest one gets the next slot. An idle group keeps no credit: when it has requests again it
+    starts at the queue's virtual time. Other groups have used its share meanwhile, and it gets it
+    back at once. The estimated cost is charged when a slot is granted and corrected when the slot
+    is released, so a group with slow requests gets no more slot time than one with fast requests.
     """
 
     def __init__(self) -> None:
@@ -40,7 +41,7 @@
         return 0 if found is None else len(found.entries)
 
     def share_of(self, group: str, weight: float) -> float:
-        """Return the share of the slots that `group` gets while all waiting groups want theirs."""
+        """Return the share of the slots that `group` gets while all active groups use theirs."""
         others = sum(
             each.weight
             for each in self._groups.values()
@@ -51,7 +52,7 @@
     def push(self, entry: EntryT, is_first: bool = False) -> None:
         """Add a waiting request, at the end of its group or (`is_first`) at its head.
 
-        One that arrived before others of its group, at another queue, goes before them.
+        A request moved here from another queue goes before later arrivals of its group.
         """
         group = self._groups.get(entry.group)
         if group is None:
@@ -60,35 +61,37 @@
         group.concurrency_limit = entry.concurrency_limit
         if not group.entries:
             group.virtual_time = max(group.virtual_time, self._virtual_time)
-        is_late = bool(group.entries) and next(reversed(group.entries)).sequence > entry.sequence
+        is_out_of_order = (
+            bool(group.entries) and next(reversed(group.entries)).sequence > entry.sequence
+        )
         group.entries[entry] = None
         if is_first:
             group.entries.move_to_end(entry, last=False)
-        elif is_late:
+        elif is_out_of_order:
             group.sort()
         self._length += 1
 
     def remove(self, entry: EntryT) -> None:
-        """Take out a request that waits no longer."""
+        """Remove a waiting request."""
         del self._groups[entry.group].entries[entry]
         self._length -= 1
 
     def head(self) -> EntryT | None:
-        """Return the request whose turn it is; None when no group may go."""
+        """Return the request that gets the next slot; None when no group may get one."""
         eligible = [group for group in self._groups.values() if group.is_eligible()]
         if not eligible:
             return None
         return next(iter(min(eligible, key=lambda each: (each.virtual_time, each.name)).entries))
 
     def grant_next(self, estimated_cost_s: float) -> EntryT | None:
-        """Give a slot to the next request; None when no group may go."""
+        """Grant a slot to the next request and return it; None when no group may get one."""
         entry = self.head()
         if entry is not None:
             self.grant(entry, estimated_cost_s)
         return entry
 
     def grant(self, entry: EntryT, estimated_cost_s: float) -> None:
-        """Give a slot to a waiting request."""
+        """Grant a slot to a waiting request."""
         group = self._groups[entry.group]
         self.remove(entry)
         self._virtual_time = max(self._virtual_time, group.virtual_time)
@@ -98,26 +101,28 @@
         entry.charged_s = estimated_cost_s
 
     def release(self, entry: EntryT, cost_s: float) -> None:
-        """Take the slot of `entry` back and charge what it cost in fact."""
+        """Release the slot of `entry` and correct the charge to its actual cost."""
         group = self._groups[entry.group]
         group.in_progress -= 1
         self._in_progress -= 1
         group.virtual_time += (cost_s - entry.charged_s) / group.weight
-        is_owed_nothing = group.virtual_time <= self._virtual_time
-        if not group.entries and not group.in_progress and is_owed_nothing:
-            # Where it would begin again is where a new group begins.
+        has_no_debt = group.virtual_time <= self._virtual_time
+        if not group.entries and not group.in_progress and has_no_debt:
+            # A new group would start at the same virtual time.
             del self._groups[entry.group]
 
     def in_order(self, cost_s: float) -> Iterator[EntryT]:
-        """Yield what waits in the order in which it goes if each request costs `cost_s`."""
-        lines = [_tagged(group, cost_s) for group in self._groups.values() if group.entries]
-        for _, _, entry in merge(*lines, key=lambda each: each[:2]):
+        """Yield the waiting requests in the order of grants if each costs `cost_s`."""
+        orders = [
+            _with_start_tags(group, cost_s) for group in self._groups.values() if group.entries
+        ]
+        for _, _, entry in merge(*orders, key=lambda each: each[:2]):
             yield entry
 
     def count_before_last(self, name: str, cost_s: float) -> int:
-        """Return how many go before the last of group `name`, if each request costs `cost_s`.
+        """Return how many requests precede the last one of group `name` if each costs `cost_s`.
 
-        The work grows with the groups that wait, not with the requests.
+        Runs in time proportional to the number of groups, not of requests.
         """
         own = self._groups[name]
         before = len(own.entries) - 1
@@ -130,7 +135,9 @@
         return before
 
 
-def _tagged(group: GroupQueue[EntryT], cost_s: float) -> Iterator[tuple[float, str, EntryT]]:
+def _with_start_tags(
+    group: GroupQueue[EntryT], cost_s: float
+) -> Iterator[tuple[float, str, EntryT]]:
     step = max(cost_s, MIN_COST_S) / group.weight
     for position, entry in enumerate(group.entries):
         yield group.virtual_time + position * step, group.name, entry
--- a/indigoworks/common/group_queue.py
+++ b/indigoworks/common/group_queue.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class GroupQueue(Generic[EntryT]):
-    """Waiting requests of one group, oldest first, and its place in the fair order.
+    """Waiting requests of one group, oldest first, and its virtual time.
 
     :ivar virtual_time: slot seconds received so far, divided by the weight.
     :ivar in_progress: requests of the group that hold a slot.
@@ -25,11 +25,11 @@
     entries: OrderedDict[EntryT, None] = field(default_factory=OrderedDict)
 
     def is_eligible(self) -> bool:
-        """Tell whether the group has a waiting request that may be given a slot."""
+        """Tell whether the group has a waiting request that may get a slot."""
         if not self.entries:
             return False
         return self.concurrency_limit is None or self.in_progress < self.concurrency_limit
 
     def sort(self) -> None:
-        """Put the entries in the order of their arrival."""
+        """Sort the entries by arrival."""
         self.entries = OrderedDict.fromkeys(sorted(self.entries, key=lambda each: each.sequence))
--- a/indigoworks/common/http_listener.py
+++ b/indigoworks/common/http_listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets of an HTTP server, closed without resetting callers."""
+"""Listening sockets of an HTTP server, closed without resetting pending connections."""
 
 import socket
 
@@ -18,7 +18,7 @@
         self._sockets: list[socket.socket] = []
 
     def start(self) -> None:
-        """Listen.
+        """Bind the address and listen.
 
         :raises OSError: the address cannot be bound.
         """
@@ -28,14 +28,14 @@
     def stop(self) -> None:
         """Close the listening sockets; connections that callers have opened are kept.
 
-        Closing a listening socket resets the connections that wait to be accepted, and their
-        callers could not tell whether their requests ran. So those are accepted first.
+        Closing a listening socket resets the connections in its backlog, and their callers could
+        not know whether their requests ran. So those connections are accepted first.
         """
         for listener in self._sockets:
-            self._accept_waiting(listener)
+            self._accept_pending(listener)
         self._server.stop()
 
-    def _accept_waiting(self, listener: socket.socket) -> None:
+    def _accept_pending(self, listener: socket.socket) -> None:
         while True:
             try:
                 connection, address = listener.accept()
--- a/indigoworks/common/limit_report.py
+++ b/indigoworks/common/limit_report.py
@@ -1,14 +1,14 @@
-"""What a server said of its limit."""
+"""A server's report of its rate limit."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
-    """The newest word of a server on the requests that it takes from all gateways together.
+    """A server's newest report of the rate that it accepts from all gateways together.
 
-    :ivar per_s: requests a second; None: it names no limit any more.
-    :ivar age_s: time since it said so, to whichever gateway.
+    :ivar per_s: requests a second; None: the server has withdrawn its limit.
+    :ivar age_s: time since the report, to any gateway.
     """
 
     per_s: float | None
--- a/indigoworks/common/logging/access_records.py
+++ b/indigoworks/common/logging/access_records.py
@@ -1,4 +1,4 @@
-"""Records of answered HTTP requests."""
+"""Filter for the HTTP server's access log records."""
 
 import logging
 
@@ -7,10 +7,10 @@
 
 
 def demote_to_debug(record: logging.LogRecord) -> bool:
-    """Lower a record to DEBUG, and keep it; a filter of the standard library's loggers.
+    """Lower a record to DEBUG and keep it; a filter for the standard library's loggers.
 
-    The HTTP server calls every answer from 500 on an error, also a refusal with 503, which is an
-    ordinary outcome and comes in floods. Faults of our own have messages of their own.
+    The HTTP server logs every response with a status from 500 as an error, also refusals with 503,
+    which are ordinary and come in large numbers. Our own faults have messages of their own.
     """
     record.levelno = logging.DEBUG
     record.levelname = logging.getLevelName(logging.DEBUG)
--- a/indigoworks/common/logging/level_filter.py
+++ b/indigoworks/common/logging/level_filter.py
@@ -9,13 +9,13 @@
 
 
 class LevelFilter:
-    """Passes messages of at least `threshold` on."""
+    """Forwards messages of at least `threshold` to a destination."""
 
     def __init__(self, threshold: LogLevel, destination: Destination) -> None:
         self._threshold = threshold
         self._destination = destination
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Pass `message` on, or drop it."""
+        """Forward `message` or drop it."""
         if level_of(message) >= self._threshold:
             self._destination(message)
--- a/indigoworks/common/logging/line_buffer.py
+++ b/indigoworks/common/logging/line_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines on their way to standard output."""
+"""Bounded buffer of log lines before they are written to standard output."""
 
 import json
 import os
@@ -13,31 +13,31 @@
 from indigoworks.common.logging.log_level import LEVEL_FIELD, LogLevel, level_of
 
 MAX_BUFFERED_BYTES = 512 * 1024
-"""Lines beyond this are dropped and counted: the process never waits for the reader of its log."""
+"""Lines beyond this are dropped and counted: the process never blocks on the reader of its log."""
 
 MAX_WRITE_BYTES = select.PIPE_BUF
-"""A pipe takes so much whole or not at all: processes that share one do not tear each other's
-lines, and a reader that shows only the beginning of a large write shows all."""
+"""Writes to a pipe up to this size are atomic: processes that share one do not interleave lines. A
+reader that shows only the beginning of a large write shows each write whole."""
 
 _SUCCESS_LEVELS = frozenset({LogLevel.DEBUG.name, LogLevel.INFO.name})
 
 
 @dataclass(slots=True)
 class _Line:
-    """`message_type` is empty where the line must not make room for others."""
+    """A buffered line; `message_type` is empty if it must not be dropped to make room."""
 
     data: bytes
     message_type: str
 
 
 class LineBuffer:
-    """Collects lines, bounds their number and bytes, and writes them without ever blocking.
+    """Collects lines, bounds their number and bytes, and writes them without blocking.
 
-    A line of control that finds no room takes that of lines on requests, the oldest first.
+    If the buffer is full, a line of a control type replaces lines on requests, oldest first.
 
     :param descriptor: file descriptor of the stream; it is set to non-blocking.
     :param process: name of the process, added to every line.
-    :param rates: bounds of the number of lines, and the counts of what was dropped.
+    :param rates: bounds the number of lines, and counts dropped lines.
     """
 
     def __init__(self, descriptor: int, process: str, rates: LineRateLimiter) -> None:
@@ -50,11 +50,11 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return the bytes that wait for the reader."""
+        """Return the bytes that are buffered."""
         return self._bytes
 
     def add(self, message: dict[str, Any]) -> None:
-        """Take one message; serves as a destination of eliot."""
+        """Add one message to the buffer; serves as a destination of eliot."""
         message_type = str(message.get("message_type", ""))
         if not self._rates.admit(message_type, _is_failure(message)):
             return
@@ -72,18 +72,18 @@
         self._bytes += len(data)
 
     def flush(self) -> None:
-        """Write what the reader takes now; once a second tell what was dropped."""
-        # With little room left the counts wait: they are of use to a reader only.
+        """Write what the stream accepts now; once a second, log what was dropped."""
+        # With the buffer half full the reader lags: the counts are logged once it has caught up.
         if self._rates.end_second() and self._bytes < MAX_BUFFERED_BYTES // 2:
-            self._tell_dropped()
+            self._log_dropped()
         self._write()
 
     def finish(self) -> None:
-        """Tell what was dropped and write what the reader takes; nothing comes after this."""
-        self._tell_dropped()
+        """Log what was dropped and write what the stream accepts; the last call on this buffer."""
+        self._log_dropped()
         self._write()
 
-    def _tell_dropped(self) -> None:
+    def _log_dropped(self) -> None:
         dropped = self._rates.pop_unreported()
         if dropped:
             log_message(
@@ -133,11 +133,11 @@
         return b"".join(parts)
 
     def _put_back(self, rest: bytes) -> None:
-        # The reader may have the first part of it: no other line may take its place.
+        # The reader may have the beginning of the block, so the rest must not be dropped.
         self._lines.appendleft(_Line(rest, ""))
         self._bytes += len(rest)
 
 
 def _is_failure(message: dict[str, Any]) -> bool:
-    # Lines on requests, of which there are many, name their level: the short way is theirs.
+    # The many lines on requests name their level, so the set lookup decides them cheaply.
     return message.get(LEVEL_FIELD) not in _SUCCESS_LEVELS and level_of(message) >= LogLevel.WARNING
--- a/indigoworks/common/logging/line_rate_limiter.py
+++ b/indigoworks/common/logging/line_rate_limiter.py
@@ -1,14 +1,14 @@
-"""How many lines of each type a process writes in a second."""
+"""Limits the number of log lines of each type that a process writes in a second."""
 
 from collections.abc import Mapping
 
 from indigoworks.common.clock import Clock
 
 SUCCESS_LINES_PER_S = 200
-"""Lines of one type below WARNING that a process writes in a second; the rest is counted."""
+"""Most lines of one type below WARNING in a second; the rest are dropped and counted."""
 
 FAILURE_LINES_PER_S = 500
-"""Lines of one type from WARNING on that a process writes in a second; the rest is counted."""
+"""Most lines of one type from WARNING up in a second; the rest are dropped and counted."""
 
 CONTROL_PREFIXES = (
     "process:",
@@ -32,16 +32,16 @@
     "quarantine:forgotten",
     "log:",
 )
-"""Types without a bound: they tell of changes, of which there are few, never of single requests."""
+"""Types without a limit: they report changes of state, which are few, never single requests."""
 
 SECOND_S = 1.0
 
 
 class LineRateLimiter:
-    """Counts lines by type, and what was dropped of them.
+    """Limits lines by type in each second, and counts the dropped ones.
 
-    A second ends when `end_second` is called after it, so that no line costs a reading of the
-    clock; where that comes late, the second is longer and the bound lower.
+    A second ends at the first call of `end_second` after it, so that no line costs a reading of the
+    clock; if the call is late, the second is longer and the rate lower.
 
     :ivar dropped: lines dropped so far, by type.
     """
@@ -50,20 +50,20 @@
         self._clock = clock
         self._successes: dict[str, int] = {}
         self._failures: dict[str, int] = {}
-        self._untold: dict[str, int] = {}
+        self._unreported: dict[str, int] = {}
         self._second_began_s: float | None = None
         self.dropped: dict[str, int] = {}
 
     def has_room(self, message_type: str, is_failure: bool) -> bool:
-        """Tell whether one more line of a type would be taken; ask before building it."""
+        """Tell whether one more line of a type would be written; callers ask before building it."""
         if is_failure:
-            is_free = self._failures.get(message_type, 0) < FAILURE_LINES_PER_S
+            is_below_limit = self._failures.get(message_type, 0) < FAILURE_LINES_PER_S
         else:
-            is_free = self._successes.get(message_type, 0) < SUCCESS_LINES_PER_S
-        return is_free or is_control(message_type)
+            is_below_limit = self._successes.get(message_type, 0) < SUCCESS_LINES_PER_S
+        return is_below_limit or is_control(message_type)
 
     def admit(self, message_type: str, is_failure: bool) -> bool:
-        """Count a line that is to be written; False where it is dropped."""
+        """Count a line and return whether it may be written; False: it counts as dropped."""
         if not self.has_room(message_type, is_failure):
             self.record_dropped(message_type)
             return False
@@ -72,12 +72,12 @@
         return True
 
     def record_dropped(self, message_type: str) -> None:
-        """Count a line that is not written."""
-        self._untold[message_type] = self._untold.get(message_type, 0) + 1
+        """Count a dropped line."""
+        self._unreported[message_type] = self._unreported.get(message_type, 0) + 1
         self.dropped[message_type] = self.dropped.get(message_type, 0) + 1
 
     def end_second(self) -> bool:
-        """Begin a new second if the last one is over; tells whether it was."""
+        """Begin a new second if the current one is over, and tell whether it was."""
         now_s = self._clock.now()
         if self._second_began_s is None:
             self._second_began_s = now_s
@@ -90,11 +90,11 @@
 
     def pop_unreported(self) -> Mapping[str, int]:
         """Return what was dropped since the last call, by type."""
-        untold = self._untold
-        self._untold = {}
-        return untold
+        unreported = self._unreported
+        self._unreported = {}
+        return unreported
 
 
 def is_control(message_type: str) -> bool:
-    """Tell whether lines of a type are never dropped for their number."""
+    """Tell whether a type has no limit of lines in a second."""
     return message_type.startswith(CONTROL_PREFIXES)
--- a/indigoworks/common/logging/log_level.py
+++ b/indigoworks/common/logging/log_level.py
@@ -11,7 +11,7 @@
 
 
 class LogLevel(IntEnum):
-    """Levels, from the most to the least talkative."""
+    """Levels, from the most to the least verbose."""
 
     DEBUG = 10
     INFO = 20
--- a/indigoworks/common/logging/log_setup.py
+++ b/indigoworks/common/logging/log_setup.py
@@ -1,4 +1,4 @@
-"""Setting up the logs of a process."""
+"""Sets up the logs of a process."""
 
 import logging
 import sys
@@ -16,7 +16,7 @@
 def set_up_logging(level: str, process: str, stream: TextIO | None = None) -> None:
     """Write the messages of this process as JSON lines.
 
-    Records of the standard library's loggers (tornado, asyncio) go the same way.
+    Records of the standard library's loggers (tornado, asyncio) are written the same way.
 
     :param level: name of a LogLevel; messages below it are dropped.
     :param process: name of the process, added to every message.
@@ -33,8 +33,8 @@
     root = logging.getLogger()
     root.handlers = [EliotHandler()]
     root.setLevel(int(threshold))
-    # Requests have messages of their own, with ids; the HTTP server's line says less.
+    # Requests have messages of their own, with ids; the HTTP server's access line adds nothing.
     access = logging.getLogger(ACCESS_LOGGER)
     access.addFilter(demote_to_debug)
-    # Refusals come in floods: where DEBUG is not written, their lines are not even built.
+    # Refusals come in large numbers: unless DEBUG is written, their records are not even built.
     access.setLevel(logging.WARNING if threshold is LogLevel.DEBUG else logging.CRITICAL)
--- a/indigoworks/common/logging/log_threshold.py
+++ b/indigoworks/common/logging/log_threshold.py
@@ -1,20 +1,20 @@
-"""The level below which this process drops messages, for code that would rather not build them.
+"""The level below which this process drops messages, so that callers need not build them.
 
-A message of eliot costs its fields, an id of its own and a timestamp before a destination drops it.
-Messages of each request ask here first.
+An eliot message costs its fields, an id and a timestamp before a destination drops it. Code that
+logs for each request checks the threshold first.
 """
 
 from indigoworks.common.logging.log_level import LogLevel
 
 
 class LogThreshold:
-    """Lowest level that is written; everything until `set_up_logging` has said otherwise."""
+    """Lowest level that is written; DEBUG until `set_up_logging` sets another."""
 
     def __init__(self) -> None:
         self._lowest = LogLevel.DEBUG
 
     def set(self, lowest: LogLevel) -> None:
-        """Drop what is below `lowest` from now on."""
+        """Drop messages below `lowest` from now on."""
         self._lowest = lowest
 
     def passes(self, level: LogLevel) -> bool:
@@ -23,4 +23,4 @@
 
 
 LOG_THRESHOLD = LogThreshold()
-"""That of this process, beside eliot's own list of destinations."""
+"""The threshold of this process; global, as eliot's list of destinations is."""
--- a/indigoworks/common/metrics.py
+++ b/indigoworks/common/metrics.py
@@ -1,8 +1,8 @@
 """Counters, histograms and gauges of a process.
 
-They are plain numbers; `metrics_page` shows them in the form of the library. A process thus starts
-without the library, whose import costs more time than all of its counting, and loads it when its
-metrics are first asked for.
+They hold plain numbers, which `metrics_page` converts to prometheus_client's format. A process thus
+starts without importing that library, which costs more time than all counting, and loads it when
+its metrics are first requested.
 """
 
 from bisect import bisect_left
@@ -16,7 +16,7 @@
 
 @dataclass
 class Counter:
-    """A counter by labels."""
+    """Counter with a value for each combination of labels."""
 
     name: str
     description: str
@@ -24,13 +24,13 @@
     values: dict[Labels, int] = field(default_factory=dict)
 
     def add(self, *labels: str) -> None:
-        """Count one."""
+        """Increment the counter of `labels` by one."""
         self.values[labels] = self.values.get(labels, 0) + 1
 
 
 @dataclass
 class HistogramValue:
-    """Times of one set of labels: how many fell below each bound, and their sum in seconds."""
+    """Observations of one combination of labels: count per bucket, and their sum in seconds."""
 
     counts: list[int]
     sum_s: float = 0.0
@@ -38,7 +38,7 @@
 
 @dataclass
 class Histogram:
-    """A histogram of seconds by labels."""
+    """Histogram of durations for each combination of labels."""
 
     name: str
     description: str
@@ -47,7 +47,7 @@
     values: dict[Labels, HistogramValue] = field(default_factory=dict)
 
     def add(self, elapsed_s: float, *labels: str) -> None:
-        """Add one time."""
+        """Add one observation."""
         value = self.values.get(labels)
         if value is None:
             value = self.values[labels] = HistogramValue([0] * (len(self.bounds_s) + 1))
@@ -57,7 +57,7 @@
 
 @dataclass
 class Gauge:
-    """Values by labels that are read when the page is made."""
+    """Gauge, or counter kept elsewhere, whose values by labels are read for each metrics page."""
 
     name: str
     description: str
@@ -68,7 +68,7 @@
 class Metrics:
     """All metrics of a process.
 
-    :ivar read_counts: counters that are kept elsewhere and read when the page is made.
+    :ivar read_counters: counters that are kept elsewhere and read for each metrics page.
     """
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
         return counts
 
     def histogram(self, name: str, description: str, *labels: str) -> Histogram:
-        """Return a new histogram of seconds."""
+        """Return a new histogram of durations in seconds."""
         times = Histogram(name, description, labels)
         self.histograms.append(times)
         return times
@@ -96,7 +96,7 @@
         labels: Labels,
         read: Callable[[], Mapping[Labels, float]],
     ) -> None:
-        """Add a gauge that `read` gives by labels."""
+        """Add a gauge; `read` returns its values by labels."""
         self.gauges.append(Gauge(name, description, labels, read))
 
     def read_counter(
@@ -106,5 +106,5 @@
         labels: Labels,
         read: Callable[[], Mapping[Labels, float]],
     ) -> None:
-        """Add a counter that `read` gives by labels."""
+        """Add a counter that is kept elsewhere; `read` returns its values by labels."""
         self.read_counters.append(Gauge(name, description, labels, read))
--- a/indigoworks/common/metrics_page.py
+++ b/indigoworks/common/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page of metrics, in the form of the library."""
+"""Renders metrics in the Prometheus text format."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
@@ -19,7 +19,7 @@
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Return all families; called by the library."""
+        """Yield all metric families; called by prometheus_client."""
         for counts in self._metrics.counters:
             yield _counter(counts, counts.values)
         for read in self._metrics.read_counters:
@@ -31,7 +31,7 @@
 
 
 def metrics_page(metrics: Metrics) -> bytes:
-    """Return the page as text."""
+    """Return the page of all metrics as UTF-8 text."""
     registry = CollectorRegistry()
     registry.register(_MetricsCollector(metrics))
     return generate_latest(registry)
--- a/indigoworks/common/ring/range_assignment.py
+++ b/indigoworks/common/ring/range_assignment.py
@@ -7,8 +7,8 @@
 class RangeAssignment:
     """Range [start, end] of `service`, both ends included, and who owns it.
 
-    :ivar owner: name of the owning server; empty when nobody owns the range.
-    :ivar owner_incarnation: the run of the owning server that the grant is for.
+    :ivar owner: name of the owning server; empty if no server owns the range.
+    :ivar owner_incarnation: incarnation of the owning server that holds the grant.
     :ivar token: fencing token; a later owner of any part of the range has a larger one.
     :ivar next_owner: server that gets the range once `owner` has released it; empty otherwise.
     """
@@ -22,5 +22,5 @@
     next_owner: str = ""
 
     def contains(self, position: int) -> bool:
-        """Tell whether `place` lies in the range."""
+        """Tell whether `position` lies in the range."""
         return self.start <= position <= self.end
--- a/indigoworks/common/ring/range_table.py
+++ b/indigoworks/common/ring/range_table.py
@@ -24,37 +24,37 @@
             if right.start <= left.end:
                 raise ValueError(f"ranges overlap at {right.start:#018x}")
 
-    def find(self, place: int) -> RangeAssignment | None:
-        """Return the range that holds `place`, or None where the table has a gap."""
-        position = bisect_right(self._starts, place) - 1
-        if position < 0:
+    def find(self, position: int) -> RangeAssignment | None:
+        """Return the range that holds `position`, or None where the table has a gap."""
+        index = bisect_right(self._starts, position) - 1
+        if index < 0:
             return None
-        assignment = self._assignments[position]
-        return assignment if assignment.contains(place) else None
+        assignment = self._assignments[index]
+        return assignment if assignment.contains(position) else None
 
     def replaced(
         self, expected: Sequence[RangeAssignment], replacement: Sequence[RangeAssignment]
     ) -> "RangeTable | None":
-        """Return the table with some ranges replaced, or None where it doesn't fit.
+        """Return the table with some ranges replaced, or None where they do not fit.
 
-        Costs two copies of the table and a search for each range, no sort.
+        Takes two copies of the table and a binary search for each range, no sort.
 
         :param expected: ranges that must stand in this table as given.
-        :param replacement: ranges that come in their place; they must not overlap others.
+        :param replacement: ranges to insert instead; they must not overlap others.
         """
         assignments = list(self._assignments)
         starts = list(self._starts)
         for assignment in expected:
-            position = bisect_left(starts, assignment.start)
-            if position == len(starts) or assignments[position] != assignment:
+            index = bisect_left(starts, assignment.start)
+            if index == len(starts) or assignments[index] != assignment:
                 return None
-            del assignments[position], starts[position]
+            del assignments[index], starts[index]
         for assignment in replacement:
-            position = bisect_left(starts, assignment.start)
-            if _overlaps(assignments, position, assignment):
+            index = bisect_left(starts, assignment.start)
+            if _overlaps(assignments, index, assignment):
                 return None
-            assignments.insert(position, assignment)
-            starts.insert(position, assignment.start)
+            assignments.insert(index, assignment)
+            starts.insert(index, assignment.start)
         table = RangeTable()
         table._assignments = tuple(assignments)
         table._starts = starts
@@ -68,9 +68,9 @@
 
 
 def _overlaps(
-    assignments: Sequence[RangeAssignment], position: int, assignment: RangeAssignment
+    assignments: Sequence[RangeAssignment], index: int, assignment: RangeAssignment
 ) -> bool:
-    """Tell whether `assignment`, put at `position`, overlaps one of its neighbours."""
-    if position > 0 and assignments[position - 1].end >= assignment.start:
+    """Tell whether `assignment`, inserted at `index`, would overlap a neighbour."""
+    if index > 0 and assignments[index - 1].end >= assignment.start:
         return True
-    return position < len(assignments) and assignments[position].start <= assignment.end
+    return index < len(assignments) and assignments[index].start <= assignment.end
--- a/indigoworks/common/task_failure.py
+++ b/indigoworks/common/task_failure.py
@@ -1,4 +1,4 @@
-"""Noticing that a task which should run for ever has ended."""
+"""Detects the end of a task that should run until it is cancelled."""
 
 import asyncio
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 async def wait_for_failure(tasks: Sequence["asyncio.Task[None]"]) -> str:
     """Wait until one of `tasks`, all meant to run until cancelled, ends by itself.
 
-    :returns: which task ended, and why; for logs.
+    :returns: text for logs: which task ended, and why.
     """
     done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     task = next(iter(done))
--- a/indigoworks/common/view_object.py
+++ b/indigoworks/common/view_object.py
@@ -1,4 +1,4 @@
-"""The object that holds a recent view of a group, for routers that start."""
+"""Name of the stored object with a recent view of a group, which starting routers read."""
 
 
 def view_object_name(group_id: int) -> str:
