--- a/indigoworks/admin/admin_call.py
+++ b/indigoworks/admin/admin_call.py
@@ -8,7 +8,7 @@
     """A request, independent of the transport.
 
     :ivar method: HTTP method, upper case.
-    :ivar path: path and query, from `/admin/v1`.
+    :ivar path: path, starting with `/admin/v1`, and query.
     :ivar body: JSON, or empty.
     """
 
--- a/indigoworks/admin/bodies/members_body.py
+++ b/indigoworks/admin/bodies/members_body.py
@@ -5,7 +5,10 @@
 
 
 class MembersBody(Body):
-    """Controllers in contact with the leader, and the leader if one is known.
+    """Members of the control group in contact, and the leader if one is known.
+
+    From a controller, these are the controllers in contact with the leader; from a gateway, itself
+    and the peers whose reports it receives.
 
     The field names date from when controllers voted; `learners` is empty.
     """
--- a/indigoworks/admin/bodies/router_body.py
+++ b/indigoworks/admin/bodies/router_body.py
@@ -5,9 +5,10 @@
 
 
 class RouterBody(Body):
-    """A router and the versions that it has in force.
+    """A router, or a gateway's peer, and the versions that it has in force; see RouterPresence.
 
-    :ivar since_poll_s: seconds since it last polled for its view.
+    :ivar since_poll_s: seconds since it last polled for its view; for a gateway's peer, since its
+        last report arrived.
     """
 
     member: MemberBody
--- a/indigoworks/admin/bodies/routers_body.py
+++ b/indigoworks/admin/bodies/routers_body.py
@@ -5,6 +5,6 @@
 
 
 class RoutersBody(Body):
-    """Routers that polled for a view recently, sorted by name."""
+    """Routers that polled recently, or peers of a gateway that reported recently, by name."""
 
     routers: list[RouterBody]
--- a/indigoworks/admin/control_plane.py
+++ b/indigoworks/admin/control_plane.py
@@ -38,11 +38,14 @@
         ...
 
     async def routers(self) -> Sequence[RouterPresence]:
-        """Return the processes that forward requests and were seen recently."""
+        """Return the routers, or a gateway's peers, that were in contact recently."""
         ...
 
     async def drain_server(self, name: str) -> Result[None, AdminError]:
-        """Drain a back end: it is assigned nothing new and hands over its ranges."""
+        """Drain a back end: it is assigned nothing new and hands over its ranges.
+
+        A gateway refuses with MethodNotAllowed: its servers report themselves that they leave.
+        """
         ...
 
 
@@ -52,8 +55,8 @@
     async def change_settings(self, change: SettingsChange) -> Result[SettingsAccepted, AdminError]:
         """Put a validated tree in force.
 
-        :returns: SettingsConflict, ChangeIdReused, SettingsStoreUnavailable or NotLeader when
-            nothing took effect; SettingsOutcomeUnknown when the change may have.
+        :returns: InvalidSettings, SettingsConflict, ChangeIdReused, SettingsStoreUnavailable or
+            NotLeader when nothing took effect; SettingsOutcomeUnknown when the change may have.
         """
         ...
 
--- a/indigoworks/admin/errors.py
+++ b/indigoworks/admin/errors.py
@@ -52,7 +52,10 @@
 
 @dataclass(frozen=True)
 class UnknownChange(UnknownNode):
-    """No accepted change with that id is known: it was refused, or is not in the log (yet)."""
+    """No accepted change with that id is known.
+
+    It was refused, is not in the log (yet), or is older than the recent changes that are kept.
+    """
 
     kind: ClassVar[str] = "unknown_change"
 
@@ -82,7 +85,10 @@
 
 @dataclass(frozen=True)
 class ChangeIdReused(AdminError):
-    """The change id belongs to an earlier change with another tree; nothing took effect."""
+    """The change id belongs to the version in force, whose tree differs; nothing took effect.
+
+    A reused id of an older version is not detected, as only the tree in force can be compared.
+    """
 
     kind: ClassVar[str] = "change_id_reused"
     http_status: ClassVar[int] = 409
--- a/indigoworks/admin/router_presence.py
+++ b/indigoworks/admin/router_presence.py
@@ -1,4 +1,4 @@
-"""A router as the leader knows it."""
+"""A router, or a gateway, as the process that reports it knows it."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,10 @@
 class RouterPresence:
     """A router and the versions that it has in force.
 
-    :ivar settings_version: version of the tree that it serves under.
+    :ivar settings_version: version of the tree, or of a gateway's configuration, in force.
     :ivar view_version: version of its view of owners.
-    :ivar since_poll_s: seconds since it last polled for its view.
+    :ivar since_poll_s: seconds since it last polled for its view; for a gateway, since its last
+        report arrived.
     """
 
     member: Member
--- a/indigoworks/cli/admin_client.py
+++ b/indigoworks/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API."""
+"""Client of the administration API of a node: a router, controller or gateway."""
 
 import asyncio
 import json
--- a/indigoworks/cli/administration_server.py
+++ b/indigoworks/cli/administration_server.py
@@ -33,7 +33,7 @@
         self._server.listen(self._address.port, self._address.host)
 
     async def stop(self) -> None:
-        """Stop the component, then close; health reports the stop meanwhile."""
+        """Stop the component, then close; after a stop signal, health reports the stop."""
         await self._component.stop()
         self._server.stop()
         await self._server.close_all_connections()
--- a/indigoworks/cli/errors.py
+++ b/indigoworks/cli/errors.py
@@ -40,14 +40,17 @@
 
 @dataclass(frozen=True)
 class NodeUnreachable(CommandError):
-    """The node could not be reached: nothing took effect."""
+    """The node could not be reached, did not respond to a read, or sent an unreadable response.
+
+    A change took no effect, except perhaps if its response was unreadable.
+    """
 
     kind: ClassVar[str] = "node_unreachable"
 
 
 @dataclass(frozen=True)
 class NodeAnswerLost(CommandError):
-    """The node did not respond: a change may have taken effect."""
+    """The node did not respond, or responded 504: a change may have taken effect."""
 
     kind: ClassVar[str] = "node_answer_lost"
 
--- a/indigoworks/cli/exit_code.py
+++ b/indigoworks/cli/exit_code.py
@@ -7,7 +7,8 @@
     """Exit code of a command.
 
     :cvar DONE: the command succeeded.
-    :cvar REFUSED: the command line is valid, but the system or a check refused it.
+    :cvar REFUSED: the command line is valid, but the command was refused or failed (such as an
+        unreachable node or a failed process).
     :cvar MISUSE: the command line is invalid.
     """
 
--- a/indigoworks/cli/http_endpoint.py
+++ b/indigoworks/cli/http_endpoint.py
@@ -14,5 +14,8 @@
         ...
 
     async def stop(self) -> None:
-        """Stop the component, finish the responses in progress, and close."""
+        """Stop the component, then close the server and its connections.
+
+        A router's server waits for responses in progress before it closes; a controller's does not.
+        """
         ...
--- a/indigoworks/cli/run_process.py
+++ b/indigoworks/cli/run_process.py
@@ -18,10 +18,12 @@
 async def run_process(
     component: ProcessComponent, endpoint: HttpEndpoint, settings: ProcessSettings, stop: StopState
 ) -> Result[Report, IndigoworksError]:
-    """Start `component` and `endpoint`, wait for a stop signal, and stop both.
+    """Start `component` and `endpoint`, wait for a stop signal or a failure, and stop both.
 
-    The HTTP server stops after the component: requests in progress get their responses, and new
-    ones are refused by the component.
+    The HTTP server stays open while the component stops: requests in progress can still get their
+    responses, and the component refuses new ones.
+
+    :returns: AddressUnavailable if a port cannot be bound; ProcessFailed after a failure.
     """
     stop.listen()
     try:
--- a/indigoworks/owners_story/line_doubts.py
+++ b/indigoworks/owners_story/line_doubts.py
@@ -13,7 +13,7 @@
 
 
 def doubts_of(line: LogLine) -> Sequence[OwnershipDoubt]:
-    """Return the doubts about a line; none for one without an ownership transfer or order."""
+    """Return the doubts about a line on a transfer, old leadership proof or replaced server."""
     if line.message_type == RANGE_PASSED:
         return [*_bound_doubts(line), *_transfer_doubts(line), *_leader_doubts(line)]
     if line.message_type == "order:old_proof":
--- a/indigoworks/owners_story/owners_story.py
+++ b/indigoworks/owners_story/owners_story.py
@@ -11,7 +11,10 @@
 
 
 class OwnersStory:
-    """Selects the lines on the owners of a key: on its ranges, on orders for them, and on leaders.
+    """Selects the lines on the owners of a key.
+
+    These are the lines on ranges with the key and on orders for them, on the servers that these
+    lines name (replaced, or answering again), and on all leaders.
 
     :param service: name of the service.
     :param key: number of the key, as `key` in the log lines on requests.
--- a/indigoworks/request_story/request_story.py
+++ b/indigoworks/request_story/request_story.py
@@ -5,7 +5,8 @@
 from indigoworks.request_story.log_line import LogLine
 
 CONTEXT_BEFORE_S = 12.0
-"""Time before the request's first line from which context is included: longer than any hold."""
+"""Time before the request's first line from which context is included: longer than the default
+maximum hold of 10 s."""
 
 CONTEXT_AFTER_S = 1.0
 
@@ -30,7 +31,9 @@
 
     These are the lines with its id from all processes; lines on the servers that it was sent to or
     waited for, and on the range of its key; and, from the gateways that handled it, the lines
-    on leader, store, feeds, relays, configuration, process, holds and the log itself.
+    on leader, store, feeds, relays, configuration, process, holds and the log itself. Context is
+    limited to the time from CONTEXT_BEFORE_S before the request's first line to CONTEXT_AFTER_S
+    after its last one.
     """
 
     def __init__(self, request_id: str, lines: Iterable[LogLine]) -> None:
