--- a/indigoworks/broker/broker_codec.py
+++ b/indigoworks/broker/broker_codec.py
@@ -145,7 +145,7 @@
     message.number = release.number
     message.is_served = release.is_served
     message.is_unreached = release.is_unreached
-    message.has_ended_server = release.has_ended_server
+    message.has_ended_server = release.has_crashed_server
     if release.server_load is not None:
         message.word.running = release.server_load.running
         message.word.waiting = release.server_load.waiting
--- a/indigoworks/broker/brokered_locks.py
+++ b/indigoworks/broker/brokered_locks.py
@@ -30,9 +30,9 @@
     broker: PeerAddress
     number: int
 
-    def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
+    def release(self, is_served: bool, has_crashed_server: Callable[[], bool]) -> None:
         """Release the lock and report the result of the attempt."""
-        release = SlotRelease(self.number, is_served, has_ended_server=has_ended_server())
+        release = SlotRelease(self.number, is_served, has_crashed_server=has_crashed_server())
         # If the release is lost, other attempts wait for the end of the lease.
         self.client.release_repeatedly(self.broker, release)
 
--- a/indigoworks/broker/doubt_broadcaster.py
+++ b/indigoworks/broker/doubt_broadcaster.py
@@ -44,7 +44,7 @@
     through the hubs of a large group take 0.1 s and more.
 
     :param send: sends a notice to a gateway.
-    :param on_doubt: called with each doubt received from a peer.
+    :param on_peer_doubt: called with each doubt received from a peer.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         directory: PeerDirectory,
         peers: PeerView,
         send: Send,
-        on_doubt: Callable[[Doubt], None],
+        on_peer_doubt: Callable[[Doubt], None],
         clock: Clock,
         random: Random,
     ) -> None:
         self._directory = directory
         self._peers = peers
         self._send = send
-        self._on_doubt = on_doubt
+        self._on_peer_doubt = on_peer_doubt
         self._clock = clock
         self._random = random
         self._pending: dict[int, Doubt] = {}
@@ -76,7 +76,7 @@
     def handle_notice(self, notice: DoubtNotice) -> None:
         """Handle a notice of a peer, and forward it if requested."""
         for doubt in notice.doubts:
-            self._on_doubt(doubt)
+            self._on_peer_doubt(doubt)
         if notice.shares:
             final = replace(notice, shares=0)
             for peer in self._directory.others():
--- a/indigoworks/broker/group_locks.py
+++ b/indigoworks/broker/group_locks.py
@@ -19,10 +19,10 @@
     stored: StoredLock
     locks: StoredLocks
 
-    def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
+    def release(self, is_served: bool, has_crashed_server: Callable[[], bool]) -> None:
         """Release both locks."""
-        self.locks.release(self.stored, is_served, has_ended_server())
-        self.brokered.release(is_served, has_ended_server)
+        self.locks.release(self.stored, is_served, has_crashed_server())
+        self.brokered.release(is_served, has_crashed_server)
 
 
 class GroupLocks:
--- a/indigoworks/broker/lock_table.py
+++ b/indigoworks/broker/lock_table.py
@@ -91,7 +91,7 @@
             return
         lock = self._locks[mark]
         if lock.waiters.pop(name, None) is None and lock.holder == name:
-            self._release(lock, release.is_served, release.has_ended_server)
+            self._release(lock, release.is_served, release.has_crashed_server)
 
     def lift(self, mark: int) -> None:
         """Grant all attempts of a request that turned out not to have crashed a server."""
@@ -106,16 +106,16 @@
         for mark, lock in list(self._locks.items()):
             if lock.holder is not None and now_s > lock.held_until_s:
                 self._marks.pop(lock.holder, None)
-                self._release(lock, is_served=False, has_ended_server=False)
+                self._release(lock, is_served=False, has_crashed_server=False)
             self._grant_waiting(lock)
             is_needed = lock.holder is not None or lock.waiters
             if not is_needed and now_s > max(lock.free_s, lock.cleared_until_s):
                 del self._locks[mark]
 
-    def _release(self, lock: _Lock, is_served: bool, has_ended_server: bool) -> None:
+    def _release(self, lock: _Lock, is_served: bool, has_crashed_server: bool) -> None:
         now_s = self._clock.now()
         lock.holder = None
-        lock.free_s = now_s + PAUSE_AFTER_CRASH_S if has_ended_server else now_s
+        lock.free_s = now_s + PAUSE_AFTER_CRASH_S if has_crashed_server else now_s
         if is_served:
             lock.cleared_until_s = now_s + CLEARED_S
         self._grant_waiting(lock)
--- a/indigoworks/broker/slot_release.py
+++ b/indigoworks/broker/slot_release.py
@@ -11,7 +11,7 @@
 
     :ivar is_served: the server ran the caller's request and answered.
     :ivar server_load: load that the server reported with its response, or None.
-    :ivar has_ended_server: the server crashed while it ran the request.
+    :ivar has_crashed_server: the server crashed while it ran the request.
     :ivar is_unreached: connecting to the server failed.
     """
 
@@ -19,4 +19,4 @@
     is_served: bool = False
     server_load: SelfReportedLoad | None = None
     is_unreached: bool = False
-    has_ended_server: bool = False
+    has_crashed_server: bool = False
--- a/indigoworks/broker/stored_locks.py
+++ b/indigoworks/broker/stored_locks.py
@@ -135,12 +135,12 @@
             await self._clock.sleep(POLL_INTERVAL_S)
         return None
 
-    def release(self, lock: StoredLock, is_served: bool, has_ended_server: bool) -> None:
+    def release(self, lock: StoredLock, is_served: bool, has_crashed_server: bool) -> None:
         """Release a lock after an attempt; if the write fails, the lock ends with its lease."""
         if lock.is_open:
             return
         until_ms = EXPIRED_MS
-        if has_ended_server or is_served:
+        if has_crashed_server or is_served:
             until_ms = self._store_ms_in(CLEARED_S if is_served else PAUSE_AFTER_CRASH_S)
         ended = replace(lock, until_ms=until_ms, is_open=is_served)
         is_reusable = until_ms == EXPIRED_MS
--- a/indigoworks/gateway/attempt_locks.py
+++ b/indigoworks/gateway/attempt_locks.py
@@ -9,10 +9,10 @@
 class AttemptLock(Protocol):
     """The right to send one attempt of a suspect request."""
 
-    def release(self, is_served: bool, has_ended_server: Callable[[], bool]) -> None:
+    def release(self, is_served: bool, has_crashed_server: Callable[[], bool]) -> None:
         """Release the lock.
 
-        :param has_ended_server: tells whether a server crashed under the attempt.
+        :param has_crashed_server: tells whether a server crashed under the attempt.
         """
         ...
 
