--- a/indigoworks/broker/broker_client.py
+++ b/indigoworks/broker/broker_client.py
@@ -12,14 +12,15 @@
 
 REPLY_TIMEOUT_S = 0.05
 """Time without a reply after which a request is sent again. The latency between gateways is up to
-3 ms, but a broker that processes a change of 60 servers reads its socket some 50 ms later."""
+3 ms, but a broker that processes a change of 60 servers reads its socket only some 50 ms
+later."""
 
 MAX_SENDS = 2
 """Consecutive sends of a request without a reply after which the broker counts as silent."""
 
 QUEUED_RESEND_S = 0.25
-"""Interval at which a queued request is sent again, to detect lost replies and ended brokers. With
-0.1 s a third of all requests that a broker received were such duplicates."""
+"""Interval at which a queued request is sent again, to detect lost replies and ended brokers. A
+shorter interval loads brokers with duplicates: at 0.1 s they are a third of all requests."""
 
 RELEASE_RESEND_PAUSES_S = (0.02, 0.04)
 """Pauses before the release of a lock is sent again, as others may wait for the lock."""
--- a/indigoworks/broker/broker_selector.py
+++ b/indigoworks/broker/broker_selector.py
@@ -25,8 +25,8 @@
 """Time for which an excluded broker is not selected."""
 
 CHOICE_CACHE_S = 0.2
-"""Time for which a selection is cached. Selecting checks every known gateway: with 79 gateways and
-a cache time of 0.05 s this took 4 % of the processor time of a gateway on a slow machine."""
+"""Time for which a selection is cached. Selecting checks every known gateway, which at 0.05 s
+takes some 4 % of a gateway's processor time in a group of about 80."""
 
 MIN_CAPACITY_SHARE = 0.5
 """Gateways with less than this share of the highest capacity in the zone do not act as brokers; the
@@ -43,6 +43,8 @@
     different peers, two brokers may act for the same servers. These servers may then get more
     requests than they have slots, and refuse those that they cannot run.
 
+    A gateway's capacity is that of its machine, in processor cores; see PeerAddress.
+
     :param own: address of this process.
     :param may_act: returns whether this process may act as broker.
     """
--- a/indigoworks/broker/brokered_locks.py
+++ b/indigoworks/broker/brokered_locks.py
@@ -50,6 +50,8 @@
     ) -> BrokeredLock | Refusal | None:
         """Return the lock of a request, why it is refused, or None if there is no broker.
 
+        `limit_s` is a clock reading, `lease_s` a duration; see AttemptLocks.
+
         A broker that does not answer is asked again until it is excluded and another one is
         selected: without this a lost reply would let an attempt crash a server without the lock.
         """
--- a/indigoworks/broker/brokered_queue.py
+++ b/indigoworks/broker/brokered_queue.py
@@ -59,8 +59,8 @@
     another zone; and otherwise waits in the zone where a slot is expected to be free first. If no
     broker answers, and in a small group, this gateway places requests from its own data.
 
-    It also does so for requests with a key: only one server can answer them, so that brokers gained
-    nothing by placing them, and took up to 0.7 of a core each.
+    It also does so for requests with a key: only one server can answer them, so that a broker has
+    no choice to make and would only cost processor time, up to 0.7 of a core.
 
     Requests to servers with a rate limit go through a broker in any group and with any key: only
     one that counts all requests to a server can keep to its limit.
--- a/indigoworks/broker/reported_load.py
+++ b/indigoworks/broker/reported_load.py
@@ -10,7 +10,7 @@
 TAKEOVER_S = 0.25
 """Time for which a new broker also counts the gateways' reports, as it does not know the slots that
 its predecessor granted. Most of these requests have ended by then; used for longer, reports, which
-are 0.1 to 0.3 s old with 79 gateways, would leave free slots unused."""
+are 0.1 to 0.3 s old in large groups, would leave free slots unused."""
 
 
 SERVER_LOAD_VALID_S = 0.2
@@ -55,8 +55,8 @@
     def refresh(self) -> None:
         """End the takeover when it is due, and discard the cached service times of peers.
 
-        They are cached because averaging over 78 peers for each server and request took 10 % of a
-        broker's processor time.
+        They are cached because averaging over all peers for each server and request takes some 10 %
+        of a broker's processor time in a group of about 80.
         """
         self._peer_times_s.clear()
         if self._clock.now() - self._takeover_began_s > TAKEOVER_S:
--- a/indigoworks/broker/slot_request.py
+++ b/indigoworks/broker/slot_request.py
@@ -9,7 +9,8 @@
 
     :ivar number: unique within one boot of the requester; duplicates have the same number.
     :ivar zone: zone of the servers.
-    :ivar limit_s: time within which the caller's request must be answered.
+    :ivar limit_s: time within which the caller's request must be answered, or the lock granted;
+        a duration, while WaitingRequest.limit_s is a clock reading.
     :ivar lease_s: time after which the slot is freed without a release.
     :ivar may_wait: queue the request if no slot is free.
     :ivar tried: ids of servers that the caller's request must not be sent to.
--- a/indigoworks/broker/stored_lock.py
+++ b/indigoworks/broker/stored_lock.py
@@ -13,7 +13,7 @@
 
     :ivar boot: boot id of the gateway that wrote it.
     :ivar number: number that this gateway gave to it, to recognize its own writes.
-    :ivar mark: see RequestMark.short.
+    :ivar mark: 64-bit mark of the request, see RequestMark.short.
     :ivar until_ms: expiry, as a reading of the store's steady clock in milliseconds.
     :ivar is_open: an attempt was served: until `until_ms` all attempts may go on.
     """
--- a/indigoworks/broker/zone_servers.py
+++ b/indigoworks/broker/zone_servers.py
@@ -9,7 +9,7 @@
 
 CACHE_S = 0.02
 """Time for which the usable servers are cached, unless the list changes. Checking each of 30
-servers for every request took 0.1 of the 0.37 ms of processor time that a broker needed for it."""
+servers for every request takes about a quarter of the processor time that a broker needs for it."""
 
 
 class ZoneServers:
--- a/indigoworks/router/controller_administration.py
+++ b/indigoworks/router/controller_administration.py
@@ -20,7 +20,8 @@
 """Retry-After of a call that no controller handled."""
 
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-"""Methods that change nothing: after any failed call they are retried at the next controller."""
+"""Methods that change nothing: after any failed call they are retried at the next controller,
+but not after an unexpected reply."""
 
 
 class ControllerAdministration:
--- a/indigoworks/router/metrics.py
+++ b/indigoworks/router/metrics.py
@@ -18,13 +18,13 @@
         self.registry = registry
         self._requests = Counter(
             "indigoworks_requests",
-            "Requests answered to callers.",
+            "Requests that were answered, or whose caller disconnected.",
             ("service", "group", "outcome", "error"),
             registry=registry,
         )
         self._latency = Histogram(
             "indigoworks_request_seconds",
-            "Time from a complete request to its response.",
+            "Time from a complete request to its response or cancellation.",
             ("service", "group"),
             buckets=LATENCY_BUCKETS_S,
             registry=registry,
--- a/indigoworks/router/peer_monitor.py
+++ b/indigoworks/router/peer_monitor.py
@@ -19,8 +19,8 @@
 
 MIN_SUSPICION_S = 1.0
 MAX_SUSPICION_S = 8.0
-"""Seconds for which a router that failed to answer is not selected as dispatcher; doubled with each
-consecutive failure."""
+"""Seconds for which a router that failed to answer, or declined a forwarded request, is not
+selected as dispatcher; doubled with each consecutive failure."""
 
 _NO_PEERS: frozenset[RouterPeer] = frozenset()
 
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -63,7 +63,10 @@
         )
 
     def _labels(self, request: CallerRequest) -> tuple[str, str]:
-        """Return the metric labels; names invented by callers must not create time series."""
+        """Return the metric labels; names invented by callers must not create time series.
+
+        An unknown group of a known service is counted as DEFAULT_GROUP.
+        """
         view = self._follower.latest
         if view is None or view.settings.resolve(request.service) is None:
             return _NO_NAME, _NO_NAME
--- a/indigoworks/router/service_handler.py
+++ b/indigoworks/router/service_handler.py
@@ -111,7 +111,10 @@
         """Skip the check: callers are programs that send no cookies."""
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer after an exception or an HTTP error raised by the framework."""
+        """Answer after an exception or an HTTP error raised by the framework.
+
+        An error below 500 is answered as an unsupported method.
+        """
         if status_code == RouterFault.status or status_code >= 500:
             self._write_response(response_from_error(_fault()))
         else:
@@ -122,6 +125,7 @@
     # ---- request ----
 
     def _check_announced_body(self) -> None:
+        """Set size limit and timeout of the body; refuse one whose announced size is too large."""
         announced = self.request.headers.get("Content-Length", "0")
         size_bytes = int(announced) if announced.isdecimal() else 0
         connection: Any = self.request.connection
--- a/indigoworks/router/view_update.py
+++ b/indigoworks/router/view_update.py
@@ -28,7 +28,9 @@
 ) -> Result[RoutingView, ViewError]:
     """Return the view updated by `reply`, or why the reply cannot be applied.
 
-    The generation never decreases, nor does the version within a generation.
+    The generation never decreases, nor does the version within a generation. A reply that repeats
+    the current version yields a new view, even if it is equal; one with an older version and the
+    same router list yields `view` itself.
     """
     if view is not None and reply.generation < view.generation:
         return Err(_older_generation(view, reply))
--- a/indigoworks/routes/configuration_holder.py
+++ b/indigoworks/routes/configuration_holder.py
@@ -7,9 +7,9 @@
 from indigoworks.routes.configuration import Configuration
 
 NEWER_VERSION_VALID_S = 5.0
-"""Time for which a peer's report of a newer version counts; then the peer has ended or was out of
-sync, and the version is no longer awaited. It is twice the longest time in which a change must be
-in force in current deployments."""
+"""Time for which a peer's report of a newer version counts. If no further report names the version,
+the process that reported it has ended or was out of sync, and the version is no longer awaited.
+Twice the longest time within which deployments require a change to be in force."""
 
 
 class ConfigurationHolder:
@@ -28,8 +28,10 @@
     def record_newer_version(self, version: int, reported_at_s: float) -> None:
         """Record that another process has this version in force.
 
-        A store that was restored from a backup may lack it until the operator writes it again, so
-        that this process cannot read it. Older versions than the newest recorded are ignored.
+        Versions older than the newest recorded are ignored. While one newer than that in force is
+        known, `is_behind` holds, and requests that find no route here are asked to retry later. A
+        store that was restored from a backup may lack the version until the operator writes it
+        again; `is_behind` ends NEWER_VERSION_VALID_S after the last report.
 
         :param reported_at_s: clock reading when that process reported it.
         """
