--- a/indigoworks/backend/errors.py
+++ b/indigoworks/backend/errors.py
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True)
 class BackendUnreachable(BackendError):
-    """No connection was made: the request never reached the server."""
+    """No connection was made or free in time: the request never reached the server."""
 
     kind: ClassVar[str] = "backend_unreachable"
 
 
 @dataclass(frozen=True)
 class BackendAnswerLost(BackendError):
-    """The response is missing or truncated: the server may have run the request."""
+    """The response is missing, truncated or invalid: the server may have run the request."""
 
     kind: ClassVar[str] = "backend_answer_lost"
 
--- a/indigoworks/backend/http_connection_pool.py
+++ b/indigoworks/backend/http_connection_pool.py
@@ -22,12 +22,12 @@
         self._idle: deque[HttpIdleConnection] = deque()
 
     async def acquire(self) -> HttpConnection | None:
-        """Wait for a free slot and return a connection, or None if connecting failed.
+        """Wait while `limit` connections are in use; return one, or None if connecting failed.
 
         Every connection that is returned must be returned to the pool by `release`.
         """
         await self._permits.acquire()
-        connection = self._take_idle()
+        connection = self._pop_idle()
         if connection is not None:
             return connection
         try:
@@ -48,7 +48,7 @@
         while self._idle:
             self._idle.pop().connection.close()
 
-    def _take_idle(self) -> HttpConnection | None:
+    def _pop_idle(self) -> HttpConnection | None:
         earliest_s = self._clock.now() - MAX_IDLE_S
         while self._idle:
             # The most recently used one is the least likely to be closed by the server.
--- a/indigoworks/controllog/errors.py
+++ b/indigoworks/controllog/errors.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class OutcomeUnknown(ControlLogError):
-    """Leadership ended before the command was committed: it may still take effect."""
+    """Leadership ended before the commit was confirmed: the command may still take effect."""
 
     kind: ClassVar[str] = "outcome_unknown"
 
@@ -43,7 +43,7 @@
 def outcome_unknown() -> OutcomeUnknown:
     """Return the error of a command whose commit this node could not confirm."""
     return OutcomeUnknown(
-        "Leadership ended before the command was committed; it may still take effect.",
+        "Leadership ended before the commit was confirmed; the command may still take effect.",
         "Read the state from the new leader before sending the command again.",
         1.0,
     )
--- a/indigoworks/controllog/follow_service.py
+++ b/indigoworks/controllog/follow_service.py
@@ -35,7 +35,7 @@
         if tenure is None or not is_for_this_run or not tenure.holds_lease():
             return not_the_leader()
         self._followers[request.member.incarnation] = (request.member, self._clock.now())
-        await self._wait_for_news(request, tenure)
+        await self._wait_for_commits(request, tenure)
         # Checked after the wait, without a task switch before the state is read.
         if not tenure.holds_lease():
             return not_the_leader()
@@ -51,7 +51,7 @@
             voters=[self._member, *(member for member, _ in self._followers.values())]
         )
 
-    async def _wait_for_news(self, request: FollowRequest, tenure: LeaderTenure) -> None:
+    async def _wait_for_commits(self, request: FollowRequest, tenure: LeaderTenure) -> None:
         replica = self._replica
         if request.generation != replica.generation:
             return
--- a/indigoworks/controllog/leader_lease_monitor.py
+++ b/indigoworks/controllog/leader_lease_monitor.py
@@ -22,7 +22,7 @@
             self._first_seen_s = self._clock.now()
 
     def has_lapsed(self, stored: StoredLeader) -> bool:
-        """Return whether the lease of the row that was read has certainly ended.
+        """Return whether the lease in a row that was just read has certainly ended.
 
         The write that claims leadership is conditional on the row's version, so it fails if a
         renewal was missed.
--- a/indigoworks/controllog/leader_tenure.py
+++ b/indigoworks/controllog/leader_tenure.py
@@ -23,6 +23,7 @@
 
     Once the lease has ended, the tenure stays over: the node needs a new epoch to lead again.
 
+    :ivar epoch: number of this leadership; each claim of the leader's row increases it.
     :ivar version: version of the leader's row that this epoch wrote last.
     :ivar is_established: all commits of earlier epochs are applied here.
     """
--- a/indigoworks/controllog/log_rows.py
+++ b/indigoworks/controllog/log_rows.py
@@ -58,7 +58,7 @@
         return RowWrite(self._prefix + "checkpoint", checkpoint.SerializeToString(), version)
 
     async def first_row(self) -> Result[LeaderRow, PlatformError]:
-        """Make a group's first leader's row, after a checkpoint of an earlier release, if any."""
+        """Make the first leader's row; it continues a checkpoint of an earlier release, if any."""
         read = await self._table.read(self._prefix + "checkpoint")
         if isinstance(read, Err):
             return read
--- a/indigoworks/controllog/log_status.py
+++ b/indigoworks/controllog/log_status.py
@@ -13,7 +13,7 @@
     :ivar generation: generation of the log as far as the node knows; 0: unknown.
     :ivar term: newest known epoch.
     :ivar leader: the leader, while the node is connected to it.
-    :ivar commit_index: newest log index known to be committed, which is applied.
+    :ivar commit_index: log index up to which this node has applied the log; all of it is committed.
     :ivar configuration: controllers connected to the leader, as far as this node knows.
     """
 
--- a/indigoworks/exchange/hub_aggregation.py
+++ b/indigoworks/exchange/hub_aggregation.py
@@ -11,8 +11,8 @@
 def aggregate_reports(own: PeerReport, members: Sequence[AgedReport]) -> PeerReport:
     """Return the report of a hub in place of its members' reports.
 
-    Loads are added up; the age of the heartbeat and the versions are the best of all. Each of these
-    is true of the hub or of one of its members.
+    Loads are added up. The age of the heartbeat is the least of all, and each version the newest:
+    each is true of the hub or of a member, which may reach what the hub cannot.
     """
     reports = [own, *(each.report for each in members)]
     beat_ages_s = [own.beat_age_s]
--- a/indigoworks/exchange/partition_monitor.py
+++ b/indigoworks/exchange/partition_monitor.py
@@ -11,7 +11,7 @@
 """Time without a report after which a member counts as missing."""
 
 HEARD_OF_MANY_S = 1.0
-"""The same in a group that is large enough for hubs: without them, at first and when they fail, its
+"""HEARD_S in a group that is large enough for hubs. Before it has hubs, and when they fail, its
 gateways report every 0.6 s."""
 
 GONE_S = 600.0
@@ -26,8 +26,9 @@
 class PartitionMonitor:
     """Compares the members that the store lists with those whose reports arrive.
 
-    While a member is missing, state that the members keep together by messages alone has no valid
-    total: each side of a partition has a keeper of its own.
+    While a member is missing, state that the group keeps only in messages, such as a broker's locks
+    and granted slots, is not valid for the whole group: each side of a partition may have a broker
+    of its own.
     """
 
     def __init__(self, directory: PeerDirectory, peers: PeerView, clock: Clock) -> None:
--- a/indigoworks/exchange/report_pace.py
+++ b/indigoworks/exchange/report_pace.py
@@ -9,7 +9,8 @@
 """Number of peers above which each reports less often, to bound what one process receives."""
 
 MAX_PERIOD_S = 0.3
-"""Longest such time, well below the time for which a peer counts as live without a report."""
+"""Upper bound of the period in a large group, well below the time for which a peer counts as live
+without a report."""
 
 AGGREGATED_PERIOD_S = 0.1
 """The period at a hub and its members, whatever the number of peers."""
@@ -22,7 +23,7 @@
 """Peers of other zones get one of this many reports: traffic between zones is expensive."""
 
 FAR_QUIET_S = 0.3
-"""But they get one at least this often, with MIN_QUIET_PERIODS as above."""
+"""Peers of other zones get a report after FAR_QUIET_S, and at least MIN_QUIET_PERIODS periods."""
 
 
 class ReportScope(Enum):
--- a/indigoworks/exchange/report_sender.py
+++ b/indigoworks/exchange/report_sender.py
@@ -65,13 +65,13 @@
     def send_if_due(self) -> None:
         """Send a report if there are changes, or if the last one was sent long enough ago."""
         has_news = self._source.has_news() or self._table.has_members()
-        reach = self._pace.decide(
+        scope = self._pace.decide(
             self._directory.count_others(), has_news, self._is_paced(), self._is_urgent
         )
         self._is_urgent = False
-        if reach is not ReportScope.NONE:
+        if scope is not ReportScope.NONE:
             self._table.drop_silent()
-            self.send_now(is_to_all_zones=reach is ReportScope.ALL)
+            self.send_now(is_to_all_zones=scope is ReportScope.ALL)
 
     def send_soon(self) -> None:
         """Send a report now, or in a large group make the next one that is due go to all peers.
--- a/indigoworks/exchange/suspect_record.py
+++ b/indigoworks/exchange/suspect_record.py
@@ -8,7 +8,7 @@
     """One request, identified by digests of its content; see `indigoworks.quarantine.suspect`.
 
     :ivar crashed_age_s: seconds since the latest of `crashes`; infinity: there is none.
-    :ivar is_shared: it counts the attempts of all callers.
+    :ivar is_shared: the record counts the attempts of all callers, not of a single one.
     :ivar seen_age_s: seconds since the request was seen last.
     """
 
--- a/indigoworks/relay/feed_server.py
+++ b/indigoworks/relay/feed_server.py
@@ -25,7 +25,7 @@
 MAX_WAIT_S = 30.0
 MS_PER_S = 1000.0
 OK_STATUS = 200
-BAD_STATUS = 400
+BAD_REQUEST_STATUS = 400
 
 
 class FeedServer:
@@ -86,7 +86,7 @@
             after = StoreVersion(int(fields["era"][0]), int(fields["after"][0]))
             wait_s = min(int(fields["wait_ms"][0]) / MS_PER_S, MAX_WAIT_S)
         except (KeyError, ValueError):
-            return HttpResponse(BAD_STATUS, (), b"Send table, era, after and wait_ms.")
+            return HttpResponse(BAD_REQUEST_STATUS, (), b"Send table, era, after and wait_ms.")
         self._health.eras.record_era(after.era, "asker")
         self._choice.record_request()
         if not self._store.reads_store_directly():
--- a/indigoworks/relay/relay_client.py
+++ b/indigoworks/relay/relay_client.py
@@ -37,7 +37,9 @@
         timeout_s: float,
         grace_s: float = 0.0,
     ) -> Result[HttpResponse, BackendError]:
-        """Send a request; an error also if `fail_pending` is called for the relay meanwhile.
+        """Send a request; BackendUnreachable also if `fail_pending` is called meanwhile.
+
+        The relay may have received the request then; that does no harm, as requests only read.
 
         :param timeout_s: seconds until the response's headers have arrived.
         :param grace_s: seconds that this request may still take after such a failure. On a slow
--- a/indigoworks/relay/relay_selector.py
+++ b/indigoworks/relay/relay_selector.py
@@ -29,7 +29,7 @@
 most this time, well within what leaving servers and new configurations allow."""
 
 RELAY_PROBE_WAIT_S = 0.7
-"""The same at a relay, and for requests to a relay: the two waits add up."""
+"""Longest wait of that feed at a relay, and of a request to a relay: the two waits add up."""
 
 
 MIN_LINK_MBIT = 50.0
@@ -136,7 +136,7 @@
         """Return whether this gateway of a large group uses other zones' relays before the store.
 
         If the store refuses the relays of a zone, or the zone has none, the whole zone would
-        otherwise read the store directly: 50 of 78 gateways made 1,660 calls in 8 s.
+        otherwise read the store directly; 50 of 78 gateways then make 1,660 calls in 8 s.
         """
         return self._directory.has_many() and self.has_slow_link()
 
--- a/indigoworks/relay/relayed_store.py
+++ b/indigoworks/relay/relayed_store.py
@@ -33,10 +33,10 @@
 """Longest wait for the headers of a relay's response beyond the requested wait."""
 
 LARGE_RESPONSE_MARGIN_S = 1.0
-"""The same for tables of large rows, as long as for the store itself: where requests fill a slow
-link, packets queue there for 0.3 s and more, and the store's response would fill it for seconds. In
-a simulated zone with 0.35 s of queued packets on its slow links, versions were in force after 3.35
-to 6.81 s with the shorter margin and after 0.81 to 1.38 s with this one."""
+"""The margin for tables of large rows, as long as for the store itself. On a slow link that is full
+of requests, packets queue for 0.3 s and more. With the shorter margin the relay would count as
+failed, and the store's response would fill the link for seconds: with 0.35 s of queued packets a
+configuration is then in force after up to 6.81 s, with this margin after up to 1.38 s."""
 
 MAX_RELAY_ATTEMPTS = 3
 """Relays tried in turn before the store. If the store refuses a third of all gateways at the same
@@ -68,8 +68,8 @@
     :param large_tables: tables of few large rows, whose full reads go through relays as well. A
         configuration of 2,533 routes is 0.58 MB as the store sends it, on each gateway's own link,
         and 0.05 MB as a relay does. On 5 Mbit/s links of which requests use 0.27 MB/s, changes that
-        come every 1.73 s are in force after up to 3.65 s without this and 0.83 s with it (simulated
-        zone of 18 gateways); the limit is 2.5 s.
+        come every 1.73 s would be in force only after up to 3.65 s if each of 18 gateways read the
+        store, and are after up to 0.83 s through a relay; the limit is 2.5 s.
     """
 
     def __init__(
--- a/indigoworks/rowstore/probing_store.py
+++ b/indigoworks/rowstore/probing_store.py
@@ -46,8 +46,8 @@
     response. While a large response is being received, the next reader probes. Transactions are
     always sent at once.
 
-    Without this, 27 of 78 gateways that were refused for 9 s made 480 failed calls: three feeds and
-    their full reads, each repeated 0.1 to 0.4 s after the last failure.
+    Otherwise each gateway would repeat its three feeds and their full reads 0.1 to 0.4 s after each
+    failure: 480 failed calls of 27 gateways that are refused for 9 s.
 
     :param gateway_count: returns how many gateways share the store.
     :param is_shared: returns whether there are so many gateways that calls must be limited;
--- a/indigoworks/rowstore/store_health.py
+++ b/indigoworks/rowstore/store_health.py
@@ -84,7 +84,7 @@
             much later, after other trouble; None: now.
         """
         self._append(StoreTrouble(self._clock.now() if at_s is None else at_s))
-        # Not since `at_s`: the store has responded after that.
+        # The outage does not begin at `at_s`: the store may have responded since then.
         if self._lost_since_s is None:
             self._lost_since_s = self._clock.now()
             log_message(
--- a/indigoworks/servers/resting_servers.py
+++ b/indigoworks/servers/resting_servers.py
@@ -99,8 +99,8 @@
         return left_s
 
     def left_s_for_many(self, server_id: str) -> float:
-        """Return the seconds for which a server still asks at least MANY gateways for rest, which
-        may include this one; 0: it asks fewer."""
+        """Return the seconds for which a server still asks at least MANY gateways for rest, this
+        one included; 0: it asks fewer."""
         reported = self._reported_left_s(server_id)
         own_s = self.left_s(server_id)
         left_s = sorted([*reported, own_s] if own_s else reported, reverse=True)
--- a/indigoworks/servers/server_limits.py
+++ b/indigoworks/servers/server_limits.py
@@ -10,9 +10,9 @@
 from indigoworks.servers.server_record import ServerRecord
 
 GRANTED_SHARE = 0.75
-"""Share of a limit that its broker grants. While gateways on two sides of a partition use two
-brokers, these grant one and a half times the limit together. That is the allowed excess, beside
-five requests in 4 s, of which the two token buckets use four."""
+"""Share of a server's limit that one broker grants. While gateways on two sides of a partition use
+two brokers, these grant 1.5 times the limit together, which is the most that is allowed. Five
+requests in 4 s are allowed beyond that, of which the two brokers' token buckets use four."""
 
 MIN_GRANTED_PER_S = 0.2
 """Least rate that is granted: at a rate of 0 no response could show that the limit has ended. Five
@@ -105,7 +105,7 @@
         return bool(self._reported)
 
     def is_known(self, server_id: str) -> bool:
-        """Return whether a response of the server without a limit would be a change."""
+        """Return whether a server's limit, or the end of one, is recorded."""
         return server_id in self._reported
 
     def per_s(self, server_id: str) -> float | None:
@@ -114,7 +114,7 @@
         return None if known is None else known.per_s
 
     def granted_per_s(self, server_id: str) -> float | None:
-        """Return the granted rate to a server in requests a second; None: it names no limit."""
+        """Return the requests a second to grant to a server; None: it names no limit."""
         per_s = self.per_s(server_id)
         return None if per_s is None else max(GRANTED_SHARE * per_s, MIN_GRANTED_PER_S)
 
--- a/indigoworks/servers/server_list.py
+++ b/indigoworks/servers/server_list.py
@@ -22,21 +22,21 @@
 """Heartbeats within which every running server is listed again after trouble of the store."""
 
 TROUBLE_DETECTION_S = 1.0
-"""Longest time from the start of trouble to the first failed call that shows it."""
+"""Longest time from the start of trouble of the store to the first failed call that shows it."""
 
 TROUBLE_MARGIN_S = 1.0
-"""Margin added to those heartbeats."""
+"""Time added to TROUBLE_HEARTBEATS heartbeats."""
 
 MAX_SETTLE_S = 2.2
-"""Upper bound of that time: a running server must be listed again within about two seconds, so one
-that is still missing is gone. A gateway that was cut off itself has 3 s until it must stop sending
+"""Upper bound of heartbeats and margin: a running server must be listed again within about 2 s, so
+one that is still missing is gone. A gateway that was cut off itself has 3 s until it must not send
 to a server whose leaving it missed, and the first calls after the cut may still fail for 0.5 s."""
 
 MOVE_AWAY_S = 1.0
-"""Time for which owners in an evacuated zone still serve their keys while these move, after this
-process read of the evacuation, and likewise an owner that says in a response that it leaves before
-its entry does: 2 s after that nothing may be sent there. An evacuation must be in force everywhere
-5 s after it was accepted; the last processes read it about 1 s after that."""
+"""Time for which an owner still gets requests for its keys while these move: after this process has
+read that its zone is evacuated, or after the owner said in a response that it leaves. 2 s after a
+server said so nothing may be sent to it. An evacuation must be in force everywhere 5 s after it was
+accepted; the last processes read it about 1 s after that."""
 
 
 class ServerList:
@@ -184,8 +184,8 @@
         return self.notices.rests.left_s_for_many(server_id)
 
     def limit_per_s(self, server_id: str) -> float | None:
-        """Return the granted rate to a server by its recent reports; None: it names no limit, or
-        has not confirmed it recently."""
+        """Return the requests a second to grant to a server, less than the limit that it names;
+        None: it names none, or has not confirmed it recently."""
         limits = self.notices.limits
         if not limits.has_any() or not limits.is_confirmed(server_id):
             return None
--- a/indigoworks/servers/server_notices.py
+++ b/indigoworks/servers/server_notices.py
@@ -17,8 +17,8 @@
 class ServerNotices:
     """Records the notices of all responses, whatever their status, by server.
 
-    :ivar rests: servers that asked this process for rest.
-    :ivar limits: servers that name a limit.
+    :ivar rests: rests that servers asked of this process or of its peers.
+    :ivar limits: limits that servers named, here or at a peer.
     :ivar on_leaving: called when a server first says that it leaves.
     """
 
--- a/indigoworks/servers/server_record.py
+++ b/indigoworks/servers/server_record.py
@@ -33,7 +33,8 @@
     def is_older_report_than(self, known: "ServerRecord") -> bool:
         """Return whether this is an entry older than `known`, from a restored copy of the store.
 
-        It does not revoke that a server leaves, and a server whose entry vanished is not back.
+        Such an entry neither revokes that its server leaves, nor shows that a server whose entry
+        vanished is back.
         """
         is_same_run = self.started_ms == known.started_ms
         is_later_era = self.version.era > known.version.era
--- a/indigoworks/servers/server_source.py
+++ b/indigoworks/servers/server_source.py
@@ -56,8 +56,8 @@
         ...
 
     def limit_per_s(self, server_id: str) -> float | None:
-        """Return the granted rate to a server by its recent reports; None: it names no limit, or
-        has not confirmed it recently."""
+        """Return the requests a second to grant to a server, less than the limit that it names;
+        None: it names none, or has not confirmed it recently."""
         ...
 
     def is_gone(self, server_id: str) -> bool:
