--- a/features/steps/gateway_losses_steps.py
+++ b/features/steps/gateway_losses_steps.py
@@ -71,7 +71,7 @@
 @then("the gateway losses of a log with a sound answer only say that no line tells of any")
 def step_none(context):
     told = report_losses(write_log(context, [SOUND]), None).unwrap()
-    assert told == "No line tells of a request that was refused, lost or late.\n", told
+    assert told == "No log line records a request that was refused, lost or late.\n", told
 
 
 @then("the gateway losses of a missing log are refused with a remedy")
--- a/features/steps/gateway_owner_lines_steps.py
+++ b/features/steps/gateway_owner_lines_steps.py
@@ -296,4 +296,4 @@
 @then("the gateway owners' story of key {key:d} says that no line is on it")
 def step_unknown(context, key):
     context.owner_lines = []
-    assert doubts(context, key) == set() and "No line is on this key" in context.owners_story
+    assert doubts(context, key) == set() and "No log line concerns this key" in context.owners_story
--- a/indigoworks/cli/settings_actions.py
+++ b/indigoworks/cli/settings_actions.py
@@ -21,7 +21,7 @@
 CHANGE_ID_BITS = 64
 READ_BACK_ATTEMPTS = 3
 READ_BACK_INTERVAL_S = 1.0
-"""Time for a change in the table to reach the log."""
+"""Pause between two queries, in which a stored change can reach the log and get its progress."""
 
 
 def new_change_id(random: Random) -> str:
--- a/indigoworks/owners_story/owners_story.py
+++ b/indigoworks/owners_story/owners_story.py
@@ -56,7 +56,8 @@
     """Return the story as text: each line, followed by the doubts about it."""
     if not lines:
         return (
-            "No line is on this key. Give the logs of all gateways, the service and the number.\n"
+            "No log line concerns this key. Give the logs of all gateways, and check the service "
+            "and the key's number.\n"
         )
     start_s = lines[0].at_s
     transfers = [each for each in lines if each.message_type == RANGE_PASSED]
--- a/indigoworks/request_losses/loss_table.py
+++ b/indigoworks/request_losses/loss_table.py
@@ -54,7 +54,7 @@
     def render(self) -> str:
         """Return the table as text: by service and cause, then by time window."""
         if not self._by_service:
-            return "No line tells of a request that was refused, lost or late.\n"
+            return "No log line records a request that was refused, lost or late.\n"
         return "".join([*self._service_rows(), "\n", *self._window_rows(), *self._dropped_rows()])
 
     def _service_rows(self) -> Iterable[str]:
