--- a/features/cli.feature
+++ b/features/cli.feature
@@ -32,7 +32,7 @@
       | controller                                  | Set name. Set zone. Set host.           |
       | router --name r --seed x                    | Set zone                                |
       | controller --settings absent.yaml           | Give the path of a readable file        |
-      | router --host localhost                     | 'localhost' is no IP number             |
+      | router --host localhost                     | 'localhost' is not an IP address        |
       | controller --zoned a                        | Run `indigoworks controller --help`     |
 
   Scenario Outline: Help ends with 0 and acts on nothing
--- a/features/settings_process.feature
+++ b/features/settings_process.feature
@@ -6,13 +6,13 @@
 
     Examples:
       | flag         | value           | text                                           |
-      | host         | localhost       | 'localhost' is no IP number                    |
-      | listen_host  | localhost       | 'localhost' is no IP number                    |
+      | host         | localhost       | 'localhost' is not an IP address               |
+      | listen_host  | localhost       | 'localhost' is not an IP address               |
       | control_port | 70000           | less than or equal to 65535                    |
       | http_port    | abc             | Change http_port accordingly                   |
       | platform_url | 10.0.0.1:80     | Change platform_url accordingly                |
-      | controllers  | 10.0.0.1        | is no address of the form ip:port              |
-      | controllers  | 10.0.0.1:5,x:6  | controllers.1: 'x' is no IP number             |
+      | controllers  | 10.0.0.1        | is not an address of the form ip:port          |
+      | controllers  | 10.0.0.1:5,x:6  | controllers.1: 'x' is not an IP address        |
       | log_level    | LOUD            | 'DEBUG', 'INFO', 'WARNING' or 'ERROR'          |
       | zone         | a b             | Change zone accordingly                        |
       | zoned        | a               | Did you mean 'zone' instead of 'zoned'         |
--- a/features/settings_tree.feature
+++ b/features/settings_tree.feature
@@ -23,8 +23,8 @@
       | {services: {a: {repeatable_paths: [stock]}}}     | services.a.repeatable_paths.0 | match pattern           | Change services.a.repeatable_paths |
       | {services: {a: {repeatable_methods: [FETCH]}}}   | services.a.repeatable_methods.0 | 'GET'                 | Change services.a.repeatable_methods |
       | {services: {a: {hop: fast}}}                     | services.a.hop               | 'dispatcher' or 'direct' | Change services.a.hop             |
-      | {services: {a: {keys: {12: {}}}}}                | services.a.keys.12           | no valid name            | Rename or quote                   |
-      | {services: {A B: {}}}                            | services.A B                 | no valid name            | Rename or quote                   |
+      | {services: {a: {keys: {12: {}}}}}                | services.a.keys.12           | not a valid name         | Rename or quote                   |
+      | {services: {A B: {}}}                            | services.A B                 | not a valid name         | Rename or quote                   |
       | {services: {a: {own_range: true}}}               | services.a.own_range         | unknown field            | known fields here                 |
 
     Examples: the whole tree
@@ -40,8 +40,8 @@
 
     Examples: the document
       | document                                         | path                         | fault                    | remedy                            |
-      | {services: {a: {}, a: {}}}                       | document                     | stands twice             | Correct the YAML                  |
-      | {"services": {"a": {}, "a": {}}}                 | document                     | stands twice             | Correct the YAML                  |
+      | {services: {a: {}, a: {}}}                       | document                     | occurs twice             | Correct the YAML                  |
+      | {"services": {"a": {}, "a": {}}}                 | document                     | occurs twice             | Correct the YAML                  |
       | {defaults: &x {}, services: {a: *x}}             | document                     | aliases are not allowed  | Correct the YAML                  |
       | {services: [                                     | document                     | expected                 | Correct the YAML                  |
       | [services]                                       | document                     | a list                   | at the top level                  |
--- a/indigoworks/settings/built_in_settings.py
+++ b/indigoworks/settings/built_in_settings.py
@@ -1,4 +1,4 @@
-"""The values in force where no level of the tree sets one."""
+"""The values in force where no level of the settings tree sets one."""
 
 from indigoworks.settings.key_settings import KeySettings
 from indigoworks.settings.placement_overrides import PlacementOverrides
@@ -25,4 +25,4 @@
     hop="dispatcher",
     own_range=False,
 )
-"""A complete level below the root: every field is set."""
+"""The level from which the root inherits; every field is set."""
--- a/indigoworks/settings/document.py
+++ b/indigoworks/settings/document.py
@@ -1,4 +1,4 @@
-"""Reading a settings document: YAML or JSON to plain values."""
+"""Parses a settings document (YAML or JSON) into plain values."""
 
 import json
 from typing import Any
@@ -11,23 +11,23 @@
 from indigoworks.settings.unique_key_loader import UniqueKeyLoader
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
-"""Largest settings document; it must fit into a frame and a row of the table service."""
+"""Largest settings document; it must fit into a frame and into a row of the table service."""
 
 
 class DuplicateField(ValueError):
-    """A JSON object names a field twice."""
+    """A JSON object contains a field twice."""
 
 
 def read_document(content: bytes, subject: str) -> Result[dict[str, Any], InvalidSettings]:
-    """Return the mapping that `content` holds.
+    """Parse `content`, whose top level must be a mapping.
 
-    :param subject: what the errors call the document, such as "settings tree".
+    :param subject: name of the document in errors, such as "settings tree".
     """
     if len(content) > MAX_DOCUMENT_BYTES:
         fault = f"it has {len(content)} bytes, the limit is {MAX_DOCUMENT_BYTES}"
         return _refused(subject, fault, "Make the document smaller.")
     try:
-        document = _parsed(content.decode("utf-8"))
+        document = _parse(content.decode("utf-8"))
     except UnicodeDecodeError as error:
         return _refused(subject, f"byte {error.start} is not UTF-8", "Save the file as UTF-8.")
     except (yaml.YAMLError, ValueError) as error:
@@ -40,7 +40,7 @@
     return Ok(document)
 
 
-def _parsed(text: str) -> Any:
+def _parse(text: str) -> Any:
     if text.lstrip().startswith("{"):
         # YAML reads 1e-05 as text, so JSON must be read as JSON; braces may also open YAML.
         try:
@@ -55,7 +55,7 @@
     if len(fields) != len(pairs):
         names = [name for name, _ in pairs]
         twice = next(name for name in names if names.count(name) > 1)
-        raise DuplicateField(f"field {twice!r} stands twice in one mapping")
+        raise DuplicateField(f"field {twice!r} occurs twice in one mapping")
     return fields
 
 
--- a/indigoworks/settings/errors.py
+++ b/indigoworks/settings/errors.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class InvalidSettings(SettingsError):
-    """Settings that were refused as a whole.
+    """Settings that were refused as a whole; none of them takes effect.
 
     :ivar problems: every fault that was found, each with its path and remedy.
     """
@@ -29,7 +29,7 @@
     def from_problems(
         cls, subject: str, problems: tuple[SettingsProblem, ...]
     ) -> "InvalidSettings":
-        """Return the error that tells all `problems` of `subject` ("settings tree")."""
+        """Return the error that lists all `problems` of `subject`, such as "settings tree"."""
         faults = "; ".join(f"{each.path}: {each.message}" for each in problems)
         remedies = " ".join(dict.fromkeys(each.remedy for each in problems))
         return cls(f"Invalid {subject}: {faults}.", remedies, problems=problems)
--- a/indigoworks/settings/field_names.py
+++ b/indigoworks/settings/field_names.py
@@ -1,4 +1,4 @@
-"""The names that a model allows at a place."""
+"""Looks up the field names that a settings model allows at a location."""
 
 from typing import Any, get_args, get_origin
 
@@ -9,11 +9,11 @@
     """Return the field names of the model that stands at `location` below `model`."""
     place: Any = model
     for step in location:
-        place = _below(place, step)
+        place = _child_of(place, step)
     return list(place.model_fields) if _is_model(place) else []
 
 
-def _below(place: Any, step: int | str) -> Any:
+def _child_of(place: Any, step: int | str) -> Any:
     if _is_model(place):
         field = place.model_fields.get(str(step))
         return None if field is None else _model_of(field.annotation)
@@ -23,7 +23,7 @@
 
 
 def _model_of(annotation: Any) -> Any:
-    """Return the model or mapping in `annotation`, past `| None`."""
+    """Return the model or mapping in `annotation`, without `| None`."""
     if _is_model(annotation) or get_origin(annotation) is dict:
         return annotation
     inner = [each for each in get_args(annotation) if _is_model(each)]
--- a/indigoworks/settings/field_types.py
+++ b/indigoworks/settings/field_types.py
@@ -14,10 +14,10 @@
 MAX_KEY_LENGTH = 1024
 
 Name = Annotated[str, StringConstraints(pattern=r"^[a-z0-9][a-z0-9._-]{0,63}$")]
-"""Name of a service or group: it travels in paths and headers."""
+"""Name of a service or group; restricted because it is sent in paths and headers."""
 
 KeyText = Annotated[str, StringConstraints(min_length=1, max_length=MAX_KEY_LENGTH)]
-"""A key as text; its bytes are the UTF-8 form."""
+"""A key as text; the key itself is its UTF-8 encoding."""
 
 PathPrefix = Annotated[str, StringConstraints(pattern=r"^/[^\s?#]*$", max_length=256)]
 """Prefix of the part of a path that follows the key."""
--- a/indigoworks/settings/key_settings.py
+++ b/indigoworks/settings/key_settings.py
@@ -4,9 +4,9 @@
 
 
 class KeySettings(Overrides):
-    """The leaf of the tree.
+    """The settings of one key, the lowest level of the tree.
 
-    :ivar own_range: a range of the key space for this key alone, so that it moves by itself.
+    :ivar own_range: the key gets a range of its own, so that it can move between servers alone.
     """
 
     own_range: bool | None = None
--- a/indigoworks/settings/load_process_settings.py
+++ b/indigoworks/settings/load_process_settings.py
@@ -1,4 +1,4 @@
-"""Loading the settings of a process from a file and flags."""
+"""Loads the settings of a process from a file and flags."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -20,7 +20,7 @@
 def load_process_settings(
     model: type[ProcessSettingsT], path: str | None, flags: Mapping[str, object]
 ) -> Result[ProcessSettingsT, SettingsError]:
-    """Return the settings of a process; a flag wins over the file.
+    """Return the settings of a process; a flag takes precedence over the file.
 
     :param path: YAML or JSON file, or None for flags alone.
     :param flags: field names and values; None: flag not given.
@@ -60,7 +60,7 @@
 
 
 def _flag_value(name: str, value: object) -> object:
-    """Undo what the command line's parser made of a text that looks like a literal."""
+    """Convert a flag back to text where the command line parser turned it into a literal."""
     if name == "controllers":
         parts = value if isinstance(value, list | tuple) else str(value).split(",")
         return [str(part).strip() for part in parts if str(part).strip()]
--- a/indigoworks/settings/overrides.py
+++ b/indigoworks/settings/overrides.py
@@ -23,15 +23,15 @@
     :ivar request_timeout_s: longest time a request may take; also the default of callers.
     :ivar max_body_bytes: largest body of a request.
     :ivar max_queue_length: requests of one group that may wait for one server.
-    :ivar max_queue_delay_s: longest time a request may wait before it is refused unrun.
+    :ivar max_queue_delay_s: longest time a request may wait in a queue before it is refused.
     :ivar max_concurrency_per_group: requests of one group in progress at one server; 0: no limit.
-    :ivar retry_limit: repeats of one repeatable request.
-    :ivar retry_budget_ratio: repeats allowed per first request of a router, from 0 to 1.
+    :ivar retry_limit: retries of one repeatable request.
+    :ivar retry_budget_ratio: retries per first attempt that a router may make, from 0 to 1.
     :ivar repeatable_methods: methods whose requests may run more than once.
     :ivar repeatable_paths: prefixes of the path after the key whose requests may run more than
         once, whatever the method.
     :ivar placement: placement of the service's ranges.
-    :ivar hop: through the dispatcher of the owner, or directly to the owner.
+    :ivar hop: route of a request: through the owner's dispatcher, or directly to the owner.
     """
 
     weight: Weight | None = None
--- a/indigoworks/settings/parse_tree.py
+++ b/indigoworks/settings/parse_tree.py
@@ -1,4 +1,4 @@
-"""Reading and writing the settings tree."""
+"""Parses the settings tree and writes it as canonical JSON."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 def parse_tree(content: bytes) -> Result[SettingsTree, InvalidSettings]:
-    """Return the tree in `content` (YAML or JSON) after all checks of the whole tree."""
+    """Parse the tree in `content` (YAML or JSON) and check it as a whole."""
     document = read_document(content, SUBJECT)
     if isinstance(document, Err):
         return document
@@ -31,7 +31,7 @@
 
 
 def canonical_json(tree: SettingsTree) -> bytes:
-    """Return the one JSON form of `tree`: set fields only, sorted names, no spaces, UTF-8."""
+    """Return the canonical JSON form of `tree`: set fields only, sorted names, no spaces, UTF-8."""
     fields = tree.model_dump(mode="json", exclude_none=True)
     return json.dumps(
         fields, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False
--- a/indigoworks/settings/placement_overrides.py
+++ b/indigoworks/settings/placement_overrides.py
@@ -16,9 +16,9 @@
 class PlacementOverrides(SettingsModel):
     """Where ranges of a service go; a field left out is inherited.
 
-    :ivar initial_ranges: number of ranges that a new service's key space is cut into.
+    :ivar initial_ranges: number of ranges that a new service's key space is split into.
     :ivar move_budget_per_minute: moves of ranges per minute made only to improve the balance.
-    :ivar prefer: what to spare when both cannot be had: unavailable time, or moves of keys.
+    :ivar prefer: what to minimise if not both: unavailable time, or moves of keys.
     :ivar imbalance_threshold: load of the busiest server over the mean, above which ranges move.
     """
 
--- a/indigoworks/settings/problem_texts.py
+++ b/indigoworks/settings/problem_texts.py
@@ -1,4 +1,4 @@
-"""Turning errors of pydantic into problems that name the remedy."""
+"""Converts pydantic's errors into settings problems with a remedy."""
 
 from difflib import get_close_matches
 
@@ -12,7 +12,7 @@
 
 
 def problems_of(model: type[BaseModel], error: ValidationError) -> tuple[SettingsProblem, ...]:
-    """Return the faults in the order of pydantic, with dotted paths."""
+    """Return the faults in pydantic's order, with dotted paths."""
     details = error.errors(include_url=False, include_context=True)
     return tuple(_problem(model, each) for each in details)
 
@@ -25,10 +25,10 @@
     if detail["type"] == "missing":
         return SettingsProblem(path, "required field is missing", f"Set {path}.")
     if "[key]" in detail["loc"]:
-        fault = f"{location[-1]!r} is no valid name ({_fault(detail)})"
+        fault = f"{location[-1]!r} is not a valid name ({_fault(detail)})"
         remedy = f"Rename or quote {path}: names are text of a-z, 0-9, '.', '_' and '-'."
         return SettingsProblem(path, fault, remedy)
-    fault = f"{_fault(detail)}, but it is {_shown(detail['input'])}"
+    fault = f"{_fault(detail)}, but it is {_shorten(detail['input'])}"
     return SettingsProblem(path, fault, f"Change {path} accordingly.")
 
 
@@ -37,7 +37,7 @@
     return message[:1].lower() + message[1:]
 
 
-def _shown(value: object) -> str:
+def _shorten(value: object) -> str:
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
--- a/indigoworks/settings/resolved_values.py
+++ b/indigoworks/settings/resolved_values.py
@@ -1,4 +1,4 @@
-"""Building ResolvedSettings out of named values."""
+"""Builds ResolvedSettings from values by field name."""
 
 from collections.abc import Mapping
 from typing import Any, cast
@@ -9,7 +9,7 @@
 
 
 def resolved_settings(values: Mapping[str, SettingValue]) -> ResolvedSettings:
-    """Return the record for a complete set of values, keyed as in SettingOrigin.name."""
+    """Return the settings for a complete set of values, keyed as in SettingOrigin.name."""
     typed = cast(Mapping[str, Any], values)  # the models have checked each value's type
     return ResolvedSettings(
         weight=typed["weight"],
@@ -22,13 +22,13 @@
         retry_budget_ratio=typed["retry_budget_ratio"],
         repeatable_methods=frozenset(typed["repeatable_methods"]),
         repeatable_paths=typed["repeatable_paths"],
-        placement=_placement(typed),
+        placement=_placement_settings(typed),
         own_range=typed["own_range"],
         hop=typed["hop"],
     )
 
 
-def _placement(typed: Mapping[str, Any]) -> PlacementSettings:
+def _placement_settings(typed: Mapping[str, Any]) -> PlacementSettings:
     return PlacementSettings(
         initial_ranges=typed["placement.initial_ranges"],
         move_budget_per_minute=typed["placement.move_budget_per_minute"],
--- a/indigoworks/settings/setting_origin.py
+++ b/indigoworks/settings/setting_origin.py
@@ -1,4 +1,4 @@
-"""Where a resolved value comes from."""
+"""Origin of a resolved value: the level of the settings tree that sets it."""
 
 from dataclasses import dataclass
 
--- a/indigoworks/settings/settings_level.py
+++ b/indigoworks/settings/settings_level.py
@@ -1,4 +1,4 @@
-"""One level of the inheritance of settings."""
+"""One level in the inheritance of settings."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class SettingsLevel:
-    """What a level sets, and its path in the tree."""
+    """The values that a level sets, and its path in the tree."""
 
     path: str
     overrides: Overrides
--- a/indigoworks/settings/settings_model.py
+++ b/indigoworks/settings/settings_model.py
@@ -1,4 +1,4 @@
-"""Base of the models of the settings tree."""
+"""Base class of the models of the settings tree."""
 
 from pydantic import BaseModel, ConfigDict
 
--- a/indigoworks/settings/settings_resolver.py
+++ b/indigoworks/settings/settings_resolver.py
@@ -1,4 +1,4 @@
-"""Inheritance: the settings in force for a service, group and key."""
+"""Resolves the settings in force for a service, group and key."""
 
 from functools import lru_cache
 
@@ -12,13 +12,13 @@
 from indigoworks.settings.settings_tree import DEFAULT_GROUP, SettingsTree
 
 CACHED_RESULTS = 4096
-"""Results kept: one for each service, group and key leaf in use."""
+"""Cached results: one for each combination of service, group and configured key in use."""
 
 
 class SettingsResolver:
-    """Resolves values of one tree. The nearest level that sets a field wins.
+    """Resolves values of one tree. The most specific level that sets a field wins.
 
-    Levels from far to near: built-in, `defaults`, `groups.G`, `services.S`,
+    Levels, the most general first: built-in, `defaults`, `groups.G`, `services.S`,
     `services.S.groups.G`, `services.S.keys.K`. Fields of `placement` are inherited one by one;
     lists are replaced whole.
     """
@@ -32,13 +32,13 @@
     ) -> ResolvedSettings | None:
         """Return the settings in force, or None for an unknown service.
 
-        :param group: None or an unknown group counts as DEFAULT_GROUP.
-        :param key: None: no key level.
+        :param group: None or an unknown group is treated as DEFAULT_GROUP.
+        :param key: None: the settings without those of any key.
         """
         found = self._tree.services.get(service)
         if found is None:
             return None
-        return self._resolve(service, self._known_group(group), _key_leaf(found, key))
+        return self._resolve(service, self._known_group(group), _configured_key(found, key))
 
     def explain(
         self, service: str, group: str | None = None, key: bytes | None = None
@@ -47,7 +47,7 @@
         found = self._tree.services.get(service)
         if found is None:
             return None
-        return self._origins(service, self._known_group(group), _key_leaf(found, key))
+        return self._origins(service, self._known_group(group), _configured_key(found, key))
 
     def _known_group(self, group: str | None) -> str:
         return group if group is not None and group in self._tree.groups else DEFAULT_GROUP
@@ -81,7 +81,7 @@
         return levels
 
 
-def _key_leaf(service: ServiceSettings, key: bytes | None) -> str | None:
+def _configured_key(service: ServiceSettings, key: bytes | None) -> str | None:
     if key is None or not service.keys:
         return None
     try:
--- a/indigoworks/settings/settings_tree.py
+++ b/indigoworks/settings/settings_tree.py
@@ -8,14 +8,14 @@
 from indigoworks.settings.settings_model import SettingsModel
 
 DEFAULT_GROUP = "default"
-"""Group of the callers that name no group, or one that the tree does not know."""
+"""Group of callers that name no group, or one that the tree does not define."""
 
 
 class SettingsTree(SettingsModel):
-    """The whole tree; a value is looked up from the key towards the root.
+    """The whole tree; the level nearest to the key that sets a value determines it.
 
     :ivar defaults: the root level.
-    :ivar groups: the groups of the organisation and what they override everywhere.
+    :ivar groups: groups of callers, and their overrides for all services.
     :ivar services: the known services.
     """
 
--- a/indigoworks/settings/tree_checks.py
+++ b/indigoworks/settings/tree_checks.py
@@ -1,4 +1,4 @@
-"""Checks over the whole tree, beyond those of single fields."""
+"""Checks of the settings tree as a whole, beyond those of single fields."""
 
 from collections.abc import Iterator
 
@@ -10,15 +10,15 @@
 
 MAX_RANGES_PER_SERVICE = 8192
 MAX_WEIGHT_RATIO = 1000.0
-"""Largest weight over smallest; beyond it the lightest group would hardly be served."""
+"""Largest ratio of two groups' weights; above it the lightest group would hardly be served."""
 RANGES_PER_OWN_RANGE = 2
-"""A key that gets a range of its own cuts one range into at most three: two more."""
+"""A key that gets a range of its own splits one range into at most three, which adds two."""
 SERVICE_WIDE_FIELDS = ("placement", "hop")
-"""Fields that hold for a whole service: a group or key cannot have its own."""
+"""Fields that apply to a whole service: a group or key cannot override them."""
 
 
 def tree_problems(tree: SettingsTree) -> tuple[SettingsProblem, ...]:
-    """Return every fault of the tree as a whole; empty where it may be put in force."""
+    """Return all problems of the tree as a whole; empty if it may take effect."""
     return tuple(_all_problems(tree))
 
 
@@ -80,9 +80,9 @@
         yield from _time_problems(f"{path} with group {group}", resolved)
     yield from _weight_problems(path, weights)
     for key in service.keys:
-        of_key = resolver.resolve(name, None, key.encode("utf-8"))
-        assert of_key is not None
-        yield from _time_problems(f"{path}.keys.{key}", of_key)
+        resolved_key = resolver.resolve(name, None, key.encode("utf-8"))
+        assert resolved_key is not None
+        yield from _time_problems(f"{path}.keys.{key}", resolved_key)
     yield from _range_count_problems(resolver, name, service)
 
 
--- a/indigoworks/wire/__init__.py
+++ b/indigoworks/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The internal protocol: protobuf messages in length-bounded frames over TCP."""
+"""The internal protocol: protobuf messages in length-prefixed frames over TCP."""
--- a/indigoworks/wire/errors.py
+++ b/indigoworks/wire/errors.py
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class BadFrame(WireError):
-    """The peer sent bytes that are no frame of this protocol."""
+    """The peer sent bytes that are not a frame of this protocol."""
 
     kind: ClassVar[str] = "bad_frame"
 
 
 @dataclass(frozen=True)
 class RefusedByPeer(WireError):
-    """The peer answered with an error of its own: the request was not handled."""
+    """The peer refused in an error reply: the request was not handled."""
 
     kind: ClassVar[str] = "refused_by_peer"
 
--- a/indigoworks/wire/frame_codec.py
+++ b/indigoworks/wire/frame_codec.py
@@ -1,4 +1,4 @@
-"""Length-bounded frames on a byte stream."""
+"""Encodes and decodes length-prefixed frames on a byte stream."""
 
 import asyncio
 import struct
@@ -30,8 +30,8 @@
 async def read_frame(reader: asyncio.StreamReader) -> Result[Frame, WireError]:
     """Read one frame.
 
-    :returns: the frame; ConnectionLost at the end of the stream; BadFrame for a length over the
-        bound or bytes that do not decode, after which the connection must be closed.
+    :returns: the frame; ConnectionLost at the end of the stream; BadFrame for a length over
+        the limit or bytes that do not decode, after which the connection must be closed.
     """
     try:
         header = await reader.readexactly(_LENGTH.size)
@@ -44,7 +44,7 @@
     try:
         return Ok(Frame.FromString(payload))
     except DecodeError:
-        return Err(BadFrame("A peer sent bytes that are no frame.", _CHECK_PEER))
+        return Err(BadFrame("A peer sent bytes that are not a frame.", _CHECK_PEER))
 
 
 def _too_long(length: int) -> BadFrame:
--- a/indigoworks/wire/rpc_client.py
+++ b/indigoworks/wire/rpc_client.py
@@ -1,4 +1,4 @@
-"""Calling side of the internal protocol."""
+"""Client of the internal protocol."""
 
 import asyncio
 from itertools import count
@@ -30,16 +30,16 @@
         self.address = address
         self._group_id = group_id
         self._correlation_ids = count(1)
-        self._waiting: dict[int, asyncio.Future[Frame]] = {}
+        self._pending: dict[int, asyncio.Future[Frame]] = {}
         self._writer: asyncio.StreamWriter | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._read_task: asyncio.Task[None] | None = None
         self._connect_lock = asyncio.Lock()
 
     async def call(self, request: Frame, timeout_s: float) -> Result[Frame, WireError]:
         """Send `request` and wait for its reply.
 
-        :param request: a frame with its payload set; correlation and group id are filled in.
-        :param timeout_s: seconds for connection and reply together.
+        :param request: a frame with its payload set; correlation id and group id are filled in.
+        :param timeout_s: timeout in seconds for connecting and the reply together.
         :returns: the reply; ConnectFailed when the request was never sent; RefusedByPeer when the
             peer did not handle it; PeerFailed, CallTimedOut or ConnectionLost when it may have
             been handled.
@@ -53,22 +53,22 @@
                 if writer is None:
                     return Err(self._connect_failed())
                 reply = asyncio.get_running_loop().create_future()
-                self._waiting[request.correlation_id] = reply
+                self._pending[request.correlation_id] = reply
                 sent = True
                 writer.write(encode_frame(request))
                 await writer.drain()
-                return self._checked(await reply)
+                return self._interpret(await reply)
         except TimeoutError:
             return Err(self._timed_out() if sent else self._connect_failed())
         except OSError:
             return Err(self._connection_lost())
         finally:
-            self._waiting.pop(request.correlation_id, None)
+            self._pending.pop(request.correlation_id, None)
 
     def close(self) -> None:
         """Close the connection; calls in progress end with ConnectionLost."""
-        if self._reading is not None:
-            self._reading.cancel()
+        if self._read_task is not None:
+            self._read_task.cancel()
         self._drop_connection()
 
     async def _connected_writer(self) -> asyncio.StreamWriter | None:
@@ -83,7 +83,7 @@
             except (OSError, TimeoutError):
                 return None
             self._writer = writer
-            self._reading = asyncio.ensure_future(self._read_replies(reader, writer))
+            self._read_task = asyncio.ensure_future(self._read_replies(reader, writer))
             return writer
 
     async def _read_replies(
@@ -94,10 +94,10 @@
             if received.is_err():
                 break
             frame = received.unwrap()
-            waiting = self._waiting.get(frame.correlation_id)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(frame)
-        # A newer connection may already stand: only this one's calls have lost their replies.
+            pending = self._pending.get(frame.correlation_id)
+            if pending is not None and not pending.done():
+                pending.set_result(frame)
+        # A newer connection may already be open; it must not be dropped.
         if self._writer is writer:
             self._drop_connection()
 
@@ -105,15 +105,15 @@
         if self._writer is not None:
             self._writer.close()
             self._writer = None
-        for waiting in self._waiting.values():
-            if not waiting.done():
-                waiting.set_exception(ConnectionResetError("connection to the peer ended"))
+        for pending in self._pending.values():
+            if not pending.done():
+                pending.set_exception(ConnectionResetError("connection to the peer ended"))
 
-    def _checked(self, reply: Frame) -> Result[Frame, WireError]:
+    def _interpret(self, reply: Frame) -> Result[Frame, WireError]:
         if reply.WhichOneof("payload") != "error":
             return Ok(reply)
         error = reply.error
-        # A fault may have struck after the request took effect: that is no refusal.
+        # The peer may have failed after the request took effect, so this is not a refusal.
         if error.kind == PeerFailed.kind:
             return Err(PeerFailed(error.message, error.remedy, error.retry_after_s))
         return Err(RefusedByPeer(error.message, error.remedy, error.retry_after_s))
--- a/indigoworks/wire/rpc_server.py
+++ b/indigoworks/wire/rpc_server.py
@@ -1,4 +1,4 @@
-"""Serving side of the internal protocol."""
+"""Server of the internal protocol."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -16,7 +16,7 @@
 
 
 class RpcServer:
-    """Accepts connections and answers request frames, each in a task of its own.
+    """Accepts connections and handles each request frame in a task of its own.
 
     A bad frame closes its connection; other connections are not affected.
     """
@@ -37,13 +37,13 @@
         )
 
     async def stop(self) -> None:
-        """Stop listening, close the connections and end the requests in progress."""
+        """Stop listening, close the connections and cancel the requests in progress."""
         if self._server is not None:
             self._server.close()
-        ending = list(self._tasks)
-        for task in ending:
+        cancelled_tasks = list(self._tasks)
+        for task in cancelled_tasks:
             task.cancel()
-        await asyncio.gather(*ending, return_exceptions=True)
+        await asyncio.gather(*cancelled_tasks, return_exceptions=True)
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._start(self._serve_connection(reader, writer))
@@ -69,13 +69,13 @@
             if received.is_err():
                 self._log_end(received.unwrap_err())
                 return
-            self._start(self._answer(received.unwrap(), writer))
+            self._start(self._reply_to(received.unwrap(), writer))
 
     def _log_end(self, error: WireError) -> None:
         if isinstance(error, BadFrame):
             log_message(message_type="wire:bad_frame", kind=error.kind, message=error.message)
 
-    async def _answer(self, request: Frame, writer: asyncio.StreamWriter) -> None:
+    async def _reply_to(self, request: Frame, writer: asyncio.StreamWriter) -> None:
         reply = await self._handle(request)
         reply.correlation_id = request.correlation_id
         reply.group_id = request.group_id
