--- a/indigoworks/admin/errors.py
+++ b/indigoworks/admin/errors.py
@@ -135,7 +135,11 @@
 
 @dataclass(frozen=True)
 class NotLeader(AdminError):
-    """No leader is known or reachable from this node; nothing took effect."""
+    """This node does not lead, and no leader is known or reachable; nothing took effect.
+
+    Exception: a drain gets this error also if the leader lost its lease before the drain was
+    confirmed; the drain may then have taken effect.
+    """
 
     kind: ClassVar[str] = "not_leader"
     http_status: ClassVar[int] = 503
