--- a/indigoworks/common/ring/range_table.py
+++ b/indigoworks/common/ring/range_table.py
@@ -39,7 +39,7 @@
 
         Takes two copies of the table and a binary search for each range, no sort.
 
-        :param expected: ranges that must stand in this table as given.
+        :param expected: ranges that this table must contain as given.
         :param replacement: ranges to insert instead; they must not overlap others.
         """
         assignments = list(self._assignments)
--- a/indigoworks/settings/field_names.py
+++ b/indigoworks/settings/field_names.py
@@ -6,19 +6,19 @@
 
 
 def field_names_at(model: type[BaseModel], location: tuple[int | str, ...]) -> list[str]:
-    """Return the field names of the model that stands at `location` below `model`."""
-    place: Any = model
+    """Return the field names of the model at `location` below `model`."""
+    schema: Any = model
     for step in location:
-        place = _child_of(place, step)
-    return list(place.model_fields) if _is_model(place) else []
+        schema = _child_of(schema, step)
+    return list(schema.model_fields) if _is_model(schema) else []
 
 
-def _child_of(place: Any, step: int | str) -> Any:
-    if _is_model(place):
-        field = place.model_fields.get(str(step))
+def _child_of(schema: Any, step: int | str) -> Any:
+    if _is_model(schema):
+        field = schema.model_fields.get(str(step))
         return None if field is None else _model_of(field.annotation)
-    if get_origin(place) is dict:
-        return _model_of(get_args(place)[1])
+    if get_origin(schema) is dict:
+        return _model_of(get_args(schema)[1])
     return None
 
 
@@ -30,5 +30,5 @@
     return inner[0] if inner else None
 
 
-def _is_model(place: Any) -> bool:
-    return isinstance(place, type) and issubclass(place, BaseModel)
+def _is_model(schema: Any) -> bool:
+    return isinstance(schema, type) and issubclass(schema, BaseModel)
