--- a/indigoworks/gateway/configuration_refusals.py
+++ b/indigoworks/gateway/configuration_refusals.py
@@ -10,8 +10,8 @@
 
 RETRY_AFTER_S = 0.3
 """Retry delay of a refusal for a configuration that has not arrived yet. Gateways on slow links
-have a change 0.2 s after the store in the median and 0.8 s at most; 1.3 s at most for changes in
-quick succession (simulated zone, 2,533 routes)."""
+have a change of 2,533 routes 0.2 s after the store in the median and 0.8 s at most; 1.3 s at most
+for changes in quick succession."""
 
 
 class ConfigurationRefusals:
--- a/indigoworks/gateway/control_subsystem.py
+++ b/indigoworks/gateway/control_subsystem.py
@@ -138,7 +138,10 @@
         )
 
     def _earlier_hold_s(self) -> float:
-        """Return how long grants of earlier leaders may hold, also before this leader acts."""
+        """Return for how many seconds servers may still hold keys by grants of earlier leaders.
+
+        A leader that may not act yet derives it from what it knows of its predecessor.
+        """
         if self.leadership.is_acting():
             return self._bounds.earlier_left_s()
         before = PredecessorBound(self.leadership.previous_leader_row(), self.leadership.liveness)
--- a/indigoworks/gateway/crash_attribution.py
+++ b/indigoworks/gateway/crash_attribution.py
@@ -19,8 +19,7 @@
 MAX_CRASHES_PER_ATTEMPT = 2
 """Servers that may crash under one attempt of a caller, retries by the gateway included. The first
 may have crashed for any reason, and the retry serves the request; after the second the caller gets
-an error. A harmful request that is sent once crashes two servers, three without this bound
-(simulated)."""
+an error. A harmful request that is sent once crashes two servers; without this bound, a third."""
 
 BROADCAST_DELAY_S = 0.004
 """Delay before peers are told of a broken connection. A running server accepts a new connection
--- a/indigoworks/gateway/exchange_factory.py
+++ b/indigoworks/gateway/exchange_factory.py
@@ -19,7 +19,8 @@
 ) -> DatagramExchange:
     """Build the report exchange of a gateway.
 
-    :param capacity: capacity of its machine as a hub; 0 if it cannot be one.
+    :param capacity: `relay_capacity` of its machine, by which hubs are selected; 0 if it cannot be
+        one.
     """
     choice = HubSelector(
         settings.node, settings.zone, capacity, directory, table, source.leader_node, clock
--- a/indigoworks/gateway/front_exchange.py
+++ b/indigoworks/gateway/front_exchange.py
@@ -27,7 +27,7 @@
 BODILESS = frozenset({204, 304})
 
 UNCONFIGURED = CallerLimits()
-"""Limits while the gateway has no configuration yet."""
+"""Default limits, those of a gateway that has no configuration yet."""
 
 FAULT_ANSWER = ClientResponse(
     502,
@@ -89,7 +89,8 @@
         self._headers = headers
         is_outdated = self._server.are_limits_outdated()
         self._is_header_too_large = _header_bytes(start_line, headers) > self._most_header_bytes()
-        # The library read its own body limit before this connection became idle.
+        # The library's body limit dates from when the connection became idle. Raise it to what the
+        # limits allow now, or may allow if they are outdated.
         read_bytes = max(self._most_body_bytes(), UNCONFIGURED.max_body_bytes if is_outdated else 0)
         self._connection.set_max_body_size(read_bytes)
 
--- a/indigoworks/gateway/gateway_plane.py
+++ b/indigoworks/gateway/gateway_plane.py
@@ -91,7 +91,7 @@
         return state
 
     def configuration(self) -> Configuration:
-        """Return this gateway and the peers whose reports it receives."""
+        """Return the group for the administration API: this gateway and the peers it hears."""
         heard = [
             self._member_of(each.node, each.boot)
             for each in sorted(self._peers.live_reports(), key=lambda report: report.node)
--- a/indigoworks/gateway/gateway_reports.py
+++ b/indigoworks/gateway/gateway_reports.py
@@ -59,6 +59,7 @@
             leader=self._control.beat(),
             loads=loads,
             samples=samples,
+            # Retries are not counted here; no receiver uses the field.
             retry_count=0,
             configuration_version=self._control.configuration_version(),
             group_version=self._control.group_version,
--- a/indigoworks/gateway/owner_lookup.py
+++ b/indigoworks/gateway/owner_lookup.py
@@ -32,6 +32,7 @@
     RESTING = "resting"
     """The owner asked this process for rest."""
     NONE = "none"
+    """No range in the ownership tables contains the key."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/indigoworks/gateway/owner_outages.py
+++ b/indigoworks/gateway/owner_outages.py
@@ -18,7 +18,8 @@
 
 OWNER_POLL_S = 0.05
 """Period in which a request without a ready owner is reassessed: an outage is expected to last
-longer the longer it lasts, and some end without an event, as the pause after a 421 (0.05 s)."""
+longer the longer it lasts, and some end without an event, as the pause after a 421 (0.05 to
+0.4 s)."""
 
 MAX_OPEN = 1000
 """Most outages tracked at a time, to bound memory; requests for keys of further ones are estimated
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Outage:
-    """One range without an owner.
+    """One range without a ready owner; a service whose keys have no owner at all counts as one.
 
     :ivar key: the first requested key.
     :ivar state: state of its owner at that time. An unreachable owner is replaced by one that has
@@ -54,7 +55,8 @@
 class OwnerOutages:
     """Tells whether a request waits for an owner of its key, and how long that is likely to take.
 
-    An outage begins with the first request that finds it and ends when its key has an owner again.
+    An outage begins with the first request that finds it, and ends when the key of that request has
+    a ready owner again.
     The expectation for one that has lasted a while is the median of what remained of those past
     ones that lasted at least as long: half of them were over by then.
     """
--- a/indigoworks/gateway/placement_queues.py
+++ b/indigoworks/gateway/placement_queues.py
@@ -35,7 +35,7 @@
         self.drop_if_idle(queue)
 
     def move_to_end(self, entry: WaitingRequest) -> None:
-        """Move a request without an owner behind all others of its service."""
+        """Move a request without a ready owner behind all others of its service."""
         ownerless = self._ownerless.get(entry.service, {})
         if entry in ownerless:
             ownerless[entry] = ownerless.pop(entry)
@@ -58,9 +58,9 @@
         return [each for each in self._queues.values() if each.service == service]
 
     def all_ownerless(self) -> list[WaitingRequest]:
-        """Return the requests without an owner."""
+        """Return the requests without a ready owner."""
         return [entry for entries in self._ownerless.values() for entry in entries]
 
     def ownerless(self, service: str) -> Iterable[WaitingRequest]:
-        """Return the requests of a service without an owner, in the order to check them."""
+        """Return the requests of a service without a ready owner, in the order to check them."""
         return self._ownerless.get(service, {})
--- a/indigoworks/gateway/platform_subsystem.py
+++ b/indigoworks/gateway/platform_subsystem.py
@@ -24,24 +24,23 @@
 LARGE_GROUP_FEED_WAIT_S = 25.0
 """Longest poll of the configuration feed in a large group, for gateways that poll a relay, where a
 waiting poll costs nothing and ends when the relay fails, and for gateways that have no relay: 195
-gateways make 8 calls a second with it, and 20 with the shorter poll (computed)."""
+gateways make 8 calls a second with it, and 20 with the shorter poll."""
 
 RELAY_FEED_WAIT_S = 1.0
 """Longest poll of the configuration feed at a relay. If a response of the store is lost, no gateway
-behind the relay gets the change, so none sees a peer ahead. With the longest poll that lasted 22 s
-(simulated zone, one lost response), with this one at most 2 s, of the 2 s and more in which a
-configuration must be in force."""
+behind the relay gets the change, so none sees a peer ahead, until the next poll: with the longest
+poll after more than 20 s, with this one after at most 2 s. A configuration must be in force within
+`configuration_apply_s`, 2 s by default."""
 
 CONFIGURATION_PACE_SHARE = 0.3
 """Shortest time from a configuration to the next poll for one in a large group, as a share of the
-time after which it must be in force. If configurations arrive three times a second, a gateway then
-reads only the newest: at most 8 of 12 within 4 s (computed), where it would read each without."""
+time within which it must be in force. If configurations arrive three times a second, a gateway then
+skips some that are replaced at once, at least 4 of 12 within 4 s; without it, it reads each."""
 
 RELAYED_PACE_SHARE = 0.1
 """The same share at relays and at gateways behind them: the two pauses add up, and only relays call
-the store. When 25 configurations of 2,533 routes arrived at intervals of 0.08 s, the last was in
-force everywhere after 1.27 s with it, 1.97 s with the longer pause (16 simulated gateways on links
-of 5 Mbit/s, 2 on 100)."""
+the store. With the longer pause, configurations of 2,533 routes in quick succession take almost the
+whole 2 s of the default to be in force at gateways on links of 5 Mbit/s."""
 
 SERVERS_PACE_SHARE = 0.1
 MAX_SERVERS_PACE_S = 0.2
@@ -260,6 +259,7 @@
         return LARGE_GROUP_FEED_WAIT_S if self._is_large_group() else FEED_WAIT_S
 
     def _configuration_pace_s(self) -> float:
+        """Return the shortest time from a configuration to the next poll for one."""
         if not self._is_large_group():
             return 0.0
         share = RELAYED_PACE_SHARE if self._is_relayed() else CONFIGURATION_PACE_SHARE
--- a/indigoworks/gateway/queue_refusals.py
+++ b/indigoworks/gateway/queue_refusals.py
@@ -35,9 +35,8 @@
 def resting(server_id: str, left_s: float) -> Refusal:
     """Refuse a request whose only possible servers rest for another `left_s`.
 
-    All refused callers retry when the rest ends. Spreading retries over the next 0.3 s gave 13 %
-    fewer refusals, but served requests 5 % later on average (8 gateways, 6 servers that rested for
-    2 s, 60 requests a second, three seeds): requests queue here as well as at the callers.
+    All refused callers retry when the rest ends. Spreading the retries would give fewer refusals,
+    but serve requests later on average: requests queue here as well as at the callers.
 
     :param server_id: the server; empty if any of several could run it.
     """
--- a/indigoworks/gateway/relay_subsystem.py
+++ b/indigoworks/gateway/relay_subsystem.py
@@ -22,7 +22,7 @@
 class RelaySubsystem:
     """Builds the relay selection, the store client behind it, and the feed for other gateways.
 
-    :ivar capacity: capacity of this machine as a relay.
+    :ivar capacity: `relay_capacity` of this machine, also used to select report hubs.
     :ivar store: store client to use instead of the platform's.
     """
 
--- a/indigoworks/gateway/request_pipeline.py
+++ b/indigoworks/gateway/request_pipeline.py
@@ -28,7 +28,7 @@
 from indigoworks.servers.server_source import ServerSource
 
 AIM_FACTOR = 0.9
-"""Requests are accepted while their response is expected within this multiple of the aim."""
+"""Requests are accepted while their response is expected within this multiple of `Route.aim_s`."""
 
 LATE_RANK = 1000
 """Added to the rank of a request whose response will miss its aim, counted from the caller's first
--- a/indigoworks/gateway/retry_schedule.py
+++ b/indigoworks/gateway/retry_schedule.py
@@ -35,13 +35,14 @@
 
 TRUST_STEP = 0.2
 MIN_TRUST = 0.5
-"""Weight of the newest outcome in the moving share of scheduled retries that callers use. Below
-MIN_TRUST no permit is reserved: the callers do not keep to the schedule."""
+"""Weight of the newest outcome in `_trust`, a moving average of the share of scheduled retries that
+callers use. Below MIN_TRUST no permit is reserved: the callers do not keep to the schedule."""
 
 USED_STEP = 0.03
 MIN_USED_SHARE = 0.4
-"""Weight for the share by which retries are scheduled more densely: callers that do not return must
-not delay those that do."""
+"""Weight of the newest outcome in `_used_share`, a slower average of the same share. The time from
+one scheduled retry to the next is multiplied by it, or by MIN_USED_SHARE if that is more: callers
+that do not return must not delay those that do."""
 
 QueueName = tuple[str, str | None]
 """Service, and the owner that a queue waits for; None for any server of the service."""
--- a/indigoworks/gateway/server_connection.py
+++ b/indigoworks/gateway/server_connection.py
@@ -110,7 +110,10 @@
     async def exchange_any(
         self, method: str, target: str, headers: HTTPHeaders, body: bytes
     ) -> ResponseCollector | None:
-        """As `exchange`, for a new connection used for one request; ids are not compared."""
+        """Send one request over a new connection; return the response whatever its id.
+
+        Unlike `exchange`, it leaves closing the connection to the caller.
+        """
         try:
             connection = HTTP1Connection(self._stream, True, self._parameters)
             headers["Content-Length"] = str(len(body))
@@ -149,8 +152,8 @@
             return None, False
         is_read_whole = reading.done()
         if not is_read_whole:
-            # The server answered before it had read the whole request: wait for one iteration of
-            # the event loop, then abandon this connection.
+            # The server answered before it had read the whole request: wait for a millisecond, then
+            # abandon this connection.
             await asyncio.wait({reading}, timeout=0.001)
             is_read_whole = reading.done()
         if not is_read_whole:
--- a/indigoworks/gateway/server_paces.py
+++ b/indigoworks/gateway/server_paces.py
@@ -6,7 +6,7 @@
 
 FRESH_S = 0.15
 """Age up to which a server's reported pace is used. Where servers share machines, a slow phase
-lasts about 0.4 s: a report that is 0.15 s old still holds in five cases of eight (computed)."""
+lasts about 0.4 s: a report that is 0.15 s old still holds in five cases of eight."""
 
 SMOOTHING = 0.05
 """Weight of the newest report in the mean pace of a server."""
--- a/indigoworks/gateway/server_rate_limiter.py
+++ b/indigoworks/gateway/server_rate_limiter.py
@@ -9,8 +9,8 @@
 
 BURST = 2
 """Requests that may be sent at once after a pause: arrivals are random, and with a burst of one the
-second request of each pair would wait. Two brokers with two each stay within the users' slack of
-five."""
+second request of each pair would wait. Two brokers with two each use four of the five requests by
+which a limit may be exceeded within 4 s (see PASSED_SHARE)."""
 
 MAX_BROKERS = 2
 """Brokers that may each spend the whole rate: two, while their member lists differ."""
@@ -34,7 +34,7 @@
     twice the rate, as two brokers with different member lists do.
 
     :param is_keyed: returns whether the servers of a service own keys.
-    :param zone: zone of the servers whose broker this process is; None if it is no broker.
+    :param zone: zone of the broker's queue that this limiter serves; None in a gateway's own queue.
     :param heard_share: returns the share of the group from which this process receives reports.
     """
 
--- a/indigoworks/gateway/server_selector.py
+++ b/indigoworks/gateway/server_selector.py
@@ -9,8 +9,8 @@
 from indigoworks.servers.server_source import ServerSource
 
 OTHER_ZONE_FACTOR = 1.7
-"""Factor on the expected time at servers of other zones: traffic between zones costs. Of 1.25, 1.7
-and 2.5, 1.7 earned most on two days of aqaba-ferry (docs/deciding-under-load.md)."""
+"""Factor on the expected time at servers of other zones: traffic between zones costs, and so does
+waiting for busy servers of the own zone (docs/deciding-under-load.md)."""
 
 
 class ServerSelector:
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -163,11 +163,13 @@
         return counts
 
     def _slots(self) -> Values:
+        """Return the slots of all servers that may get new requests, reachable from here or not."""
         servers = self._platform.servers
         services = {each.service for each in servers.listed()}
         return {(each,): sum(one.slots for one in servers.usable(each)) for each in services}
 
     def _servers(self) -> Values:
+        """Return the listed servers, and those that may get requests from here now ("usable")."""
         servers = self._platform.servers
         known = Counter(each.service for each in servers.listed())
         values: dict[Labels, float] = {}
@@ -219,6 +221,7 @@
         return {NO_LABELS: self._clock.now() - self._configured_s}
 
     def _store_proof_age_s(self) -> Values:
+        """Return the age of the store's newest response, see `StoreHealth`."""
         return _age(self._health.proof_age_s())
 
     def _live_peers(self) -> Values:
