--- a/features/steps/gateway_owner_proof_steps.py
+++ b/features/steps/gateway_owner_proof_steps.py
@@ -62,7 +62,7 @@
         if "is listed no more" in state:
             world.servers.remove("a")
             world.clock._now_s += RETENTION_S + 1.0
-            world.servers.forget_old()
+            world.servers.remove_expired()
         world.name_leader(4, "n2", "boot-9")
         before = world.leadership.row
         world.hear(1, "boot-9", 4, hold_s=HOLD_S)
@@ -147,7 +147,7 @@
     world = context.proof
     world.servers.remove(name)
     step_time(context, RETENTION_S + 1.0)
-    world.servers.forget_old()
+    world.servers.remove_expired()
     assert world.servers.get(name) is None
 
 
--- a/features/steps/gateway_server_steps.py
+++ b/features/steps/gateway_server_steps.py
@@ -83,10 +83,10 @@
 @when("the gateway remembers no longer")
 def remembers(context):
     advance(context, server_list.RETENTION_S - REST_S)
-    context.gateway_list.forget_old()
+    context.gateway_list.remove_expired()
     assert context.gateway_list.get("a") is not None
     advance(context, 2 * REST_S)
-    context.gateway_list.forget_old()
+    context.gateway_list.remove_expired()
 
 
 def usable_ids(context):
--- a/indigoworks/exchange/member_list.py
+++ b/indigoworks/exchange/member_list.py
@@ -45,7 +45,7 @@
     def covered_time_s(self, hub: str) -> float | None:
         """Return when the newest own report was sent that a report of `hub` itself includes.
 
-        None: there is none. A link that is cut in either direction shows by this.
+        None: there is none. A link to the hub that is cut in either direction is detected by this.
         """
         return self._covered_s.get(hub)
 
--- a/indigoworks/exchange/report_sender.py
+++ b/indigoworks/exchange/report_sender.py
@@ -42,31 +42,31 @@
         zone: str,
         directory: PeerDirectory,
         table: PeerTable,
-        choice: HubSelector,
+        selector: HubSelector,
         source: ReportSource,
         send: Callable[[bytes, Address], None],
     ) -> None:
         self._zone = zone
         self._directory = directory
         self._table = table
-        self._choice = choice
+        self._selector = selector
         self._source = source
         self._send = send
         self._pace = ReportPace()
         self._is_hub = False
         self._is_member = False
         self._is_urgent = False
-        self._forwarded_marks: dict[str, tuple[str, int]] = {}
+        self._forwarded_versions: dict[str, tuple[str, int]] = {}
 
     def period_s(self) -> float:
         """Return the seconds until the next call of `send_if_due`."""
-        return self._pace.period_s(self._directory.count_others(), self._is_paced())
+        return self._pace.period_s(self._directory.count_others(), self._is_aggregated())
 
     def send_if_due(self) -> None:
         """Send a report if there are changes, or if the last one was sent long enough ago."""
         has_news = self._source.has_news() or self._table.has_members()
         scope = self._pace.decide(
-            self._directory.count_others(), has_news, self._is_paced(), self._is_urgent
+            self._directory.count_others(), has_news, self._is_aggregated(), self._is_urgent
         )
         self._is_urgent = False
         if scope is not ReportScope.NONE:
@@ -89,10 +89,10 @@
 
         :param is_to_all_zones: False: only to peers in the own zone, and to the leader.
         """
-        hub = self._choice.choose()
+        hub = self._selector.choose()
         was_member, was_hub = self._is_member, self._is_hub
         self._is_hub = self._table.has_members()
-        self._is_member = not self._is_hub and self._choice.is_settled()
+        self._is_member = not self._is_hub and self._selector.is_settled()
         # A member that leaves its hub is in no aggregate from now on; a hub whose members left
         # has to replace its aggregate at all peers.
         has_left = (was_member and not self._is_member) or (was_hub and not self._is_hub)
@@ -117,7 +117,7 @@
             if self._table.record_report(each.report, each.age_s):
                 self._source.on_report(each.report)
 
-    def _is_paced(self) -> bool:
+    def _is_aggregated(self) -> bool:
         return self._is_hub or self._is_member
 
     def _report_to(self, hub: PeerAddress, report: PeerReport) -> None:
@@ -125,7 +125,7 @@
 
         Otherwise a hub whose own reports do not arrive would add loads that peers count already.
         """
-        is_joining = not self._choice.is_covered()
+        is_joining = not self._selector.is_covered()
         self._table.record_sent(report.sequence, () if is_joining else report.loads)
         sent = replace(report, hub=hub.node, is_joining=is_joining)
         self._send(encode_report(sent), hub.address)
@@ -150,15 +150,15 @@
                 self._send(short + self._forwarded_for(peer, hubs), peer.address)
 
     def _is_served_here(self, peer: PeerAddress) -> bool:
-        return self._choice.has_led() or not self._table.is_aggregated(peer.node)
+        return self._selector.has_led() or not self._table.is_aggregated(peer.node)
 
     def _not_forwarded(self, hubs: list[AgedReport]) -> list[AgedReport]:
         """Return the reports of other hubs that have not been forwarded to members yet."""
         newer = []
         for each in hubs:
-            mark = each.report.boot, each.report.sequence
-            if self._forwarded_marks.get(each.report.node) != mark:
-                self._forwarded_marks[each.report.node] = mark
+            version = each.report.boot, each.report.sequence
+            if self._forwarded_versions.get(each.report.node) != version:
+                self._forwarded_versions[each.report.node] = version
                 newer.append(each)
         return newer
 
--- a/indigoworks/gateway/request_subsystem.py
+++ b/indigoworks/gateway/request_subsystem.py
@@ -233,7 +233,7 @@
         self.front.close_idle()
         self.quarantine.remove_expired()
         self.sender.close_expired()
-        self._servers.forget_old()
+        self._servers.remove_expired()
         self._servers.notices.rests.drop_ended()
         self._servers.notices.limits.drop_ended()
         for server_id in self.sender.known_servers():
--- a/indigoworks/relay/feed_server.py
+++ b/indigoworks/relay/feed_server.py
@@ -39,12 +39,12 @@
         self,
         address: Address,
         store: RelayedStore,
-        choice: RelaySelector,
+        selector: RelaySelector,
         health: StoreHealth,
         clock: Clock,
     ) -> None:
         self._store = store
-        self._choice = choice
+        self._selector = selector
         self._health = health
         self._clock = clock
         self._listener = HttpListener(HTTPServer(self._handle), address)
@@ -88,7 +88,7 @@
         except (KeyError, ValueError):
             return HttpResponse(BAD_REQUEST_STATUS, (), b"Send table, era, after and wait_ms.")
         self._health.eras.record_era(after.era, "asker")
-        self._choice.record_request()
+        self._selector.record_request()
         if not self._store.reads_store_directly():
             reason = b"Read the store: this gateway uses a relay itself."
             return HttpResponse(UNAVAILABLE_STATUS, (), reason)
--- a/indigoworks/relay/relayed_store.py
+++ b/indigoworks/relay/relayed_store.py
@@ -76,7 +76,7 @@
         self,
         store: RowStore,
         health: StoreHealth,
-        choice: RelaySelector,
+        selector: RelaySelector,
         sender: HttpSender,
         relayed_tables: frozenset[str],
         clock: Clock,
@@ -84,7 +84,7 @@
     ) -> None:
         self._store = store
         self._health = health
-        self._choice = choice
+        self._selector = selector
         self._client = RelayClient(sender)
         self._relayed_tables = relayed_tables
         self._large_tables = large_tables
@@ -133,7 +133,7 @@
 
     def reads_store_directly(self) -> bool:
         """Return whether this process uses no relay: only then others may use it as one."""
-        return self._choice.relay() is None
+        return self._selector.relay() is None
 
     def wake_waiters(self) -> None:
         """Wake all requests that wait for changes, so that they check again."""
@@ -186,8 +186,8 @@
 
     async def _pace(self, table: str) -> None:
         pace_s = RELAY_PACE_S
-        if not self._choice.is_acting():
-            pace_s = min(PACE_PER_GATEWAY_S * self._choice.gateway_count(), MAX_PACE_S)
+        if not self._selector.is_acting():
+            pace_s = min(PACE_PER_GATEWAY_S * self._selector.gateway_count(), MAX_PACE_S)
         left_s = self._rows_received_s.get(table, float("-inf")) + pace_s - self._clock.now()
         if left_s > 0:
             await self._clock.sleep(left_s)
@@ -211,8 +211,8 @@
 
     def _relay_for(self, table: str, asked: Collection[str]) -> PeerAddress | None:
         if table in self._large_tables:
-            return self._choice.relay_for_large_rows(asked)
-        return self._choice.relay()
+            return self._selector.relay_for_large_rows(asked)
+        return self._selector.relay()
 
     async def _follow_relay(
         self, relay: PeerAddress, table: str, after: StoreVersion, wait_s: float
@@ -228,42 +228,42 @@
         sent_s = self._clock.now()
         is_large = table in self._large_tables
         margin_s = LARGE_RESPONSE_MARGIN_S if is_large else RESPONSE_MARGIN_S
-        grace_s = LARGE_RESPONSE_MARGIN_S if is_large and self._choice.has_slow_link() else 0.0
+        grace_s = LARGE_RESPONSE_MARGIN_S if is_large and self._selector.has_slow_link() else 0.0
         result = await self._client.send(relay, lambda: message, wait_s + margin_s, grace_s)
         if isinstance(result, Err):
-            self._failed(relay, result.unwrap_err().kind)
+            self._record_failure(relay, result.unwrap_err().kind)
             return None
         if result.unwrap().status == UNAVAILABLE_STATUS:
-            self._choice.record_unavailable(relay.node)
+            self._selector.record_unavailable(relay.node)
             log_relay_failed(relay.node, "asks_another", 0.0)
             return None
         response = (
             decode_feed_response(result.unwrap().body) if result.unwrap().status == 200 else None
         )
         if response is None:
-            self._failed(relay, f"status_{result.unwrap().status}")
+            self._record_failure(relay, f"status_{result.unwrap().status}")
             return None
         if response.proof_age_s > MAX_PROOF_AGE_S:
-            self._failed(relay, "stale", response.proof_age_s)
+            self._record_failure(relay, "stale", response.proof_age_s)
             return None
         self._health.eras.record_era(response.version.era, relay.node)
         if response.is_gone or response.version.era < self._health.eras.current:
             return None
         if not is_large:
             self._log_if_changed(relay.node)
-        return self._rows(response, sent_s, result.unwrap().headers_s)
+        return self._to_rows(response, sent_s, result.unwrap().headers_s)
 
-    def _rows(self, response: FeedResponse, sent_s: float, headers_s: float) -> Rows:
+    def _to_rows(self, response: FeedResponse, sent_s: float, headers_s: float) -> Rows:
         # The relay computed the ages before it sent the headers; the last byte may come much later.
-        if not self._choice.is_leading():
+        if not self._selector.is_leading():
             proof_s = headers_s - response.proof_age_s
             self._health.record_relayed(proof_s, headers_s - response.trouble_age_s)
         # The relay may have responded right after the request was sent: no later moment is certain.
         as_of_s = sent_s - response.proof_age_s
         return Rows(response.rows, response.version, as_of_s, response.is_whole)
 
-    def _failed(self, relay: PeerAddress, reason: str, proof_age_s: float = 0.0) -> None:
-        self._choice.record_failure(relay.node)
+    def _record_failure(self, relay: PeerAddress, reason: str, proof_age_s: float = 0.0) -> None:
+        self._selector.record_failure(relay.node)
         self._client.fail_pending(relay.node)
         log_relay_failed(relay.node, reason, proof_age_s)
 
--- a/indigoworks/servers/server_list.py
+++ b/indigoworks/servers/server_list.py
@@ -74,7 +74,7 @@
         if known is not None and known.version >= record.version:
             return
         earlier = self.get(record.server_id)
-        if earlier is not None and record.is_older_report_than(earlier):
+        if earlier is not None and record.is_older_entry_than(earlier):
             self._log_older_entry(record, earlier)
             return
         if earlier is not None and 0 < earlier.started_ms < record.started_ms:
@@ -246,7 +246,7 @@
         """Return whether no server is listed or was until recently."""
         return not self._listed and not self._vanished
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Remove servers that vanished long ago."""
         earliest_s = self._clock.now() - RETENTION_S
         for server_id, (record, at_s) in list(self._vanished.items()):
--- a/indigoworks/servers/server_record.py
+++ b/indigoworks/servers/server_record.py
@@ -30,7 +30,7 @@
     started_ms: int = 0
     sequence: int = 0
 
-    def is_older_report_than(self, known: "ServerRecord") -> bool:
+    def is_older_entry_than(self, known: "ServerRecord") -> bool:
         """Return whether this is an entry older than `known`, from a restored copy of the store.
 
         Such an entry neither revokes that its server leaves, nor shows that a server whose entry
