--- a/indigoworks/controller/controller.py
+++ b/indigoworks/controller/controller.py
@@ -104,23 +104,19 @@
     def _make_metrics(self) -> ControllerMetrics:
         metrics = ControllerMetrics()
         node = self.node
-        metrics.add_gauge("term", "Newest known term", lambda: node.status.term)
-        metrics.add_gauge(
-            "generation", "Generation of the control log", lambda: node.status.generation
-        )
-        metrics.add_gauge("commit_index", "Committed log index", lambda: node.status.commit_index)
-        metrics.add_gauge(
-            "is_leader", "1 while this controller leads", lambda: node.status.role is Role.LEADER
-        )
-        metrics.add_gauge("ranges", "Number of ranges", lambda: len(self._state.ranges()))
-        metrics.add_gauge("servers", "Number of servers", lambda: len(self._state.servers()))
+        metrics.add_gauge("term", "Newest epoch known", lambda: node.status.term)
+        metrics.add_gauge("generation", "Generation of the log", lambda: node.status.generation)
+        metrics.add_gauge("commit_index", "Committed index", lambda: node.status.commit_index)
+        metrics.add_gauge("is_leader", "1 while it leads", lambda: node.status.role is Role.LEADER)
+        metrics.add_gauge("ranges", "Ranges known", lambda: len(self._state.ranges()))
+        metrics.add_gauge("servers", "Servers known", lambda: len(self._state.servers()))
         metrics.add_gauge(
             "live_routers",
-            "Routers that polled recently",
+            "Routers that polled lately",
             lambda: len(self._routers.live_routers()),
         )
         metrics.add_gauge(
-            "settings_version", "Settings version in force", lambda: self._state.settings.version
+            "settings_version", "Version in force", lambda: self._state.settings.version
         )
         return metrics
 
--- a/indigoworks/gateway/state_gauges.py
+++ b/indigoworks/gateway/state_gauges.py
@@ -58,8 +58,8 @@
         )
         self._add_quarantine(metrics)
         self._add_notices(metrics)
-        metrics.gauge("gateway_grants", "Ranges that this process grants", ("state",), self._grants)
-        metrics.gauge("gateway_is_leader", "1 if this process leads", NO_LABELS, self._is_leader)
+        metrics.gauge("gateway_grants", "Ranges that we grant", ("state",), self._grants)
+        metrics.gauge("gateway_is_leader", "1: we lead", NO_LABELS, self._is_leader)
         metrics.gauge("gateway_epoch", "Epoch of the leader's row", NO_LABELS, self._epoch)
         metrics.gauge(
             "gateway_leader_proof_age_seconds",
@@ -69,7 +69,7 @@
         )
         metrics.gauge(
             "gateway_store_proof_age_seconds",
-            "Age of the store's last response",
+            "Age of the store's last word",
             NO_LABELS,
             self._store_proof_age_s,
         )
@@ -80,9 +80,7 @@
             NO_LABELS,
             self._configuration_age_s,
         )
-        metrics.gauge(
-            "gateway_live_peers", "Peers whose reports arrive", NO_LABELS, self._live_peers
-        )
+        metrics.gauge("gateway_live_peers", "Peers heard", NO_LABELS, self._live_peers)
         metrics.read_counter(
             "gateway_connections_opened",
             "Connections opened to servers for requests",
--- a/indigoworks/relay/feed_server.py
+++ b/indigoworks/relay/feed_server.py
@@ -90,7 +90,7 @@
         self._health.eras.record_era(after.era, "asker")
         self._selector.record_request()
         if not self._store.reads_store_directly():
-            reason = b"Read the store: this gateway uses a relay itself."
+            reason = b"Ask the store: this gateway asks another one."
             return HttpResponse(UNAVAILABLE_STATUS, (), reason)
         response = await self._feed_response(table, after, wait_s)
         return HttpResponse(OK_STATUS, (), encode_feed_response(response))
--- a/indigoworks/router/metrics.py
+++ b/indigoworks/router/metrics.py
@@ -18,13 +18,13 @@
         self.registry = registry
         self._requests = Counter(
             "indigoworks_requests",
-            "Requests that were answered, or whose caller disconnected.",
+            "Requests answered to callers.",
             ("service", "group", "outcome", "error"),
             registry=registry,
         )
         self._latency = Histogram(
             "indigoworks_request_seconds",
-            "Time from a complete request to its response or cancellation.",
+            "Time from a whole request to its answer.",
             ("service", "group"),
             buckets=LATENCY_BUCKETS_S,
             registry=registry,
--- a/indigoworks/router/router_observer.py
+++ b/indigoworks/router/router_observer.py
@@ -74,13 +74,13 @@
 
     def _add_gauges(self) -> None:
         watch = self._metrics.watch
-        watch("queue_length", "Requests queued for a slot.", self._queue_length)
-        watch("in_flight", "Requests sent to back ends and not yet answered.", self._in_flight)
+        watch("queue_length", "Requests that wait for a slot.", self._queue_length)
+        watch("in_flight", "Requests sent to back ends and not answered.", self._in_flight)
         watch("view_version", "Version of the view.", self._view_version)
         watch("settings_version", "Version of the settings in force.", self._settings_version)
         watch(
             "view_lease_remaining_seconds",
-            "Remaining time of the view's lease.",
+            "Time for which the view may be used.",
             self._follower.lease_remaining_s,
         )
 
